--- a/cmd/lemonarch/assign_apply_test.go
+++ b/cmd/lemonarch/assign_apply_test.go
@@ -39,15 +39,16 @@
 	return network, shell
 }
 
-func runApply(shell *fleetshell.Shell, path string) (output, notes string, code int, text string) {
-	out, diagnostics := &bytes.Buffer{}, &bytes.Buffer{}
-	if err := apply(out, diagnostics, shell, path, "json"); err != nil {
-		code, text = exitUnusable, err.Error()
+// runApply applies a rules file and returns the output, the diagnostics, the exit code and the error text.
+func runApply(shell *fleetshell.Shell, path string) (output, diagnostics string, code int, errText string) {
+	out, errOut := &bytes.Buffer{}, &bytes.Buffer{}
+	if err := apply(out, errOut, shell, path, "json"); err != nil {
+		code, errText = exitUnusable, err.Error()
 		if exit := (exitError{}); errors.As(err, &exit) {
 			code = exit.code
 		}
 	}
-	return out.String(), diagnostics.String(), code, text
+	return out.String(), errOut.String(), code, errText
 }
 
 func TestApplyThroughAController(t *testing.T) {
@@ -59,9 +60,9 @@
 	planned, _, _, _ := runAssign(exampleRules)
 	for range 2 {
 		// Applying the same file again changes nothing.
-		output, notes, code, errText := runApply(shell, exampleRules)
-		if code != 0 || output != planned || notes != "in force: revision=1 generation=4 moves=0\n" {
-			t.Fatalf("exit code %d, error %q, diagnostics %q, output %q; want exit code 0, revision 1 and the output of assign: %q", code, errText, notes, output, planned)
+		output, diagnostics, code, errText := runApply(shell, exampleRules)
+		if code != 0 || output != planned || diagnostics != "in force: revision=1 generation=4 moves=0\n" {
+			t.Fatalf("exit code %d, error %q, diagnostics %q, output %q; want exit code 0, revision 1 and the output of assign: %q", code, errText, diagnostics, output, planned)
 		}
 	}
 	if _, _, code, errText := runApply(shell, change("# Which nodes", "# Nodes that")); code != exitInvalid || !strings.Contains(errText, "generation is not above") {
@@ -73,9 +74,9 @@
 		t.Fatalf("rules that conflict: exit code %d, output %q; want exit code %d and the collisions", code, output, exitInvalid)
 	}
 	// An additional large node that sorts first by name does not move existing assignments.
-	output, notes, code, errText := runApply(shell, change("generation = 4", "generation = 5", `"battery-fault-reader"]`, `"battery-fault-reader"]`+"\n[[nodes]]\nname = \"n0\"\nzone = \"oslo-a\"\nlabels = [\"large\"]\nadapter-slots = 1\n"))
-	if code != 0 || notes != "in force: revision=2 generation=5 moves=0\n" || !strings.Contains(output, `"moves":0`) {
-		t.Fatalf("with an additional node: exit code %d, error %q, diagnostics %q, output %q; want exit code 0, revision 2 and 0 moves", code, errText, notes, output)
+	output, diagnostics, code, errText := runApply(shell, change("generation = 4", "generation = 5", `"battery-fault-reader"]`, `"battery-fault-reader"]`+"\n[[nodes]]\nname = \"n0\"\nzone = \"oslo-a\"\nlabels = [\"large\"]\nadapter-slots = 1\n"))
+	if code != 0 || diagnostics != "in force: revision=2 generation=5 moves=0\n" || !strings.Contains(output, `"moves":0`) {
+		t.Fatalf("with an additional node: exit code %d, error %q, diagnostics %q, output %q; want exit code 0, revision 2 and 0 moves", code, errText, diagnostics, output)
 	}
 	var shown bytes.Buffer
 	responses, err := shell.Query("assignments")
@@ -99,8 +100,8 @@
 		"no file":      {"apply", "--seed", "127.0.0.1:1"},
 		"format":       {"apply", exampleRules, "--seed", "127.0.0.1:1", "--output", "yaml"},
 	} {
-		if output, _, code, text := runAssign(arguments...); code != exitUnusable || output != "" || text == "" || strings.Contains(text, "\n") {
-			t.Errorf("%s: exit code %d, output %q, error %q; want exit code %d, no output and an error of one line", name, code, output, text, exitUnusable)
+		if output, _, code, errText := runAssign(arguments...); code != exitUnusable || output != "" || errText == "" || strings.Contains(errText, "\n") {
+			t.Errorf("%s: exit code %d, output %q, error %q; want exit code %d, no output and an error of one line", name, code, output, errText, exitUnusable)
 		}
 	}
 }
--- a/cmd/lemonarch/assign_test.go
+++ b/cmd/lemonarch/assign_test.go
@@ -12,7 +12,7 @@
 const exampleRules = "../../docs/assign/rules.toml"
 
 // runAssign runs assign and returns its output, its diagnostics, its exit code and its error text.
-func runAssign(arguments ...string) (output, diagnostics string, code int, text string) {
+func runAssign(arguments ...string) (output, diagnostics string, code int, errText string) {
 	command := assignCommand()
 	command.SilenceUsage, command.SilenceErrors = true, true
 	out, errOut := &bytes.Buffer{}, &bytes.Buffer{}
@@ -20,12 +20,12 @@
 	command.SetErr(errOut)
 	command.SetArgs(arguments)
 	if err := command.Execute(); err != nil {
-		code, text = exitUnusable, err.Error()
+		code, errText = exitUnusable, err.Error()
 		if exit := (exitError{}); errors.As(err, &exit) {
 			code = exit.code
 		}
 	}
-	return out.String(), errOut.String(), code, text
+	return out.String(), errOut.String(), code, errText
 }
 
 func writeTestFile(t *testing.T, name, text string) string {
@@ -94,8 +94,8 @@
 		"keep missing":     {exampleRules, "--keep", "/nowhere/solution.json"},
 		"keep no solution": {exampleRules, "--keep", invalid},
 	} {
-		if output, _, code, text := runAssign(arguments...); code != exitUnusable || output != "" || text == "" || strings.Contains(text, "\n") {
-			t.Errorf("%s: exit code %d, output %q, error %q; want exit code %d, no output and an error of one line", name, code, output, text, exitUnusable)
+		if output, _, code, errText := runAssign(arguments...); code != exitUnusable || output != "" || errText == "" || strings.Contains(errText, "\n") {
+			t.Errorf("%s: exit code %d, output %q, error %q; want exit code %d, no output and an error of one line", name, code, output, errText, exitUnusable)
 		}
 	}
 }
--- a/internal/platform/constants/inbound.go
+++ b/internal/platform/constants/inbound.go
@@ -53,8 +53,8 @@
 	ClientMemoryTimeout = 250 * time.Millisecond
 	// ClientRetryAfter is the Retry-After of a request that was rejected for lack of memory.
 	ClientRetryAfter = 250 * time.Millisecond
-	// ClientRefusalTimeout bounds the writing of a rejection.
-	ClientRefusalTimeout = 100 * time.Millisecond
+	// ClientRejectionTimeout bounds the writing of a rejection.
+	ClientRejectionTimeout = 100 * time.Millisecond
 	// ClientDrainTimeout is how long the rest of a body that is not needed is read and discarded.
 	ClientDrainTimeout = time.Second
 	// ClientBodyTimeoutMin is the minimum timeout for reading a body, whatever time its client has left.
--- a/internal/platform/inbound/body.go
+++ b/internal/platform/inbound/body.go
@@ -100,6 +100,6 @@
 	if c.listener.memory.reserve(c, needed, total) {
 		return true
 	}
-	c.listener.refused.Add(1)
+	c.listener.rejected.Add(1)
 	return false
 }
--- a/internal/platform/inbound/conn.go
+++ b/internal/platform/inbound/conn.go
@@ -84,7 +84,7 @@
 		return 0, ErrTooLarge.New("head exceeds the limit")
 	}
 	if needed > 0 && !c.listener.memory.reserve(c, needed, needed) {
-		c.listener.refused.Add(1)
+		c.listener.rejected.Add(1)
 		c.respondAndClose(unavailableResponse)
 		return 0, ErrMemoryLimit.New("reserve memory for the head")
 	}
@@ -183,7 +183,7 @@
 
 // writeResponse writes a raw response, after which the caller closes the connection.
 func (c *Conn) writeResponse(text string) error {
-	_ = c.SetWriteDeadline(clock.Deadline(constants.ClientRefusalTimeout))
+	_ = c.SetWriteDeadline(clock.Deadline(constants.ClientRejectionTimeout))
 	_, err := c.Conn.Write([]byte(text))
 	return err
 }
@@ -199,7 +199,7 @@
 
 // reject responds 503 and closes the connection at once, without waiting for the client.
 func (c *Conn) reject() {
-	c.listener.refused.Add(1)
+	c.listener.rejected.Add(1)
 	_ = c.writeResponse(unavailableResponse)
 	_ = c.abort()
 }
--- a/internal/platform/inbound/headscan_test.go
+++ b/internal/platform/inbound/headscan_test.go
@@ -39,10 +39,10 @@
 	}
 }
 
-// TestAmbiguousRequestsAreRefused guards against request smuggling: a request that has both
+// TestAmbiguousRequestsAreRejected guards against request smuggling: a request that has both
 // Content-Length and Transfer-Encoding is rejected, and bytes that follow it on the connection are not
 // executed as another request (RFC 9112, 6.1).
-func TestAmbiguousRequestsAreRefused(t *testing.T) {
+func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	listener, _ := serve(t, 0, 1<<20)
 	inner := "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
 	ambiguous := "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner
--- a/internal/platform/inbound/inbound_test.go
+++ b/internal/platform/inbound/inbound_test.go
@@ -151,7 +151,7 @@
 		c := dial(t, listener)
 		c.send("GET / HTTP/1.1\r\nHost: h\r\n%s", strings.Repeat("a:\r\n", 4000))
 	}
-	waitFor(t, "a head is rejected", func() bool { return listener.Refused() > 0 })
+	waitFor(t, "a head is rejected", func() bool { return listener.Rejected() > 0 })
 	if used := memory.Used(); used > 4*4096*constants.HeaderLineBytes {
 		t.Errorf("%d bytes are charged, want at most %d", used, 4*4096*constants.HeaderLineBytes)
 	}
--- a/internal/platform/inbound/listener.go
+++ b/internal/platform/inbound/listener.go
@@ -24,8 +24,8 @@
 	open map[*Conn]struct{}
 	// headLimit is the maximum length of a head in bytes.
 	headLimit atomic.Int64
-	// evicted counts evicted connections, refused the requests and connections that were rejected.
-	evicted, refused atomic.Int64
+	// evicted counts the evicted connections, rejected the requests and connections that were rejected.
+	evicted, rejected atomic.Int64
 }
 
 // Listen listens on an address for at most the given number of open connections, 0 for no limit. The
@@ -148,15 +148,15 @@
 // LogPressure logs one line for each period in which connections were evicted or rejected, until stop
 // is closed. listener names the port.
 func (l *Listener) LogPressure(log hclog.Logger, listener string, stop <-chan struct{}) {
-	evicted, refused := int64(0), int64(0)
+	evicted, rejected := int64(0), int64(0)
 	clock.Every(constants.ClientLogPeriod, stop, func() {
-		nowEvicted, nowRefused := l.Evicted(), l.Refused()
-		if nowEvicted == evicted && nowRefused == refused {
+		nowEvicted, nowRejected := l.Evicted(), l.Rejected()
+		if nowEvicted == evicted && nowRejected == rejected {
 			return
 		}
-		log.Warn("clients turned away", "listener", listener, "evicted", nowEvicted-evicted, "refused", nowRefused-refused,
+		log.Warn("clients turned away", "listener", listener, "evicted", nowEvicted-evicted, "refused", nowRejected-rejected,
 			"open", l.Open(), "held-bytes", l.memory.Used())
-		evicted, refused = nowEvicted, nowRefused
+		evicted, rejected = nowEvicted, nowRejected
 	})
 }
 
@@ -170,6 +170,6 @@
 // Evicted returns the number of connections evicted since the start.
 func (l *Listener) Evicted() int64 { return l.evicted.Load() }
 
-// Refused returns the number of requests and connections rejected since the start because a limit was
+// Rejected returns the number of requests and connections rejected since the start because a limit was
 // reached.
-func (l *Listener) Refused() int64 { return l.refused.Load() }
+func (l *Listener) Rejected() int64 { return l.rejected.Load() }
--- a/internal/platform/transport/address_test.go
+++ b/internal/platform/transport/address_test.go
@@ -54,8 +54,8 @@
 func (c *hostClaim) take(t *testing.T) {
 	t.Helper()
 
-	const tries = 1000
-	for number := os.Getpid(); number < os.Getpid()+tries; number++ {
+	const attempts = 1000
+	for number := os.Getpid(); number < os.Getpid()+attempts; number++ {
 		host := fmt.Sprintf("127.%d.%d.253", 1+number/256%250, number%256)
 		if listener, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", host, reservedPort)); err == nil {
 			c.host, c.listener = host, listener
--- a/internal/platform/transport/notify_test.go
+++ b/internal/platform/transport/notify_test.go
@@ -16,7 +16,7 @@
 
 	server, address := make()
 	defer server.Close()
-	deliveries := newReceived()
+	deliveries := newDeliveries()
 	err := server.Serve(func(kind messages.Kind, body []byte) ([]byte, error) {
 		if kind == messages.KindGossip {
 			deliveries <- string(body)
@@ -49,7 +49,7 @@
 	}
 }
 
-func newReceived() chan string { return make(chan string, 8) }
+func newDeliveries() chan string { return make(chan string, 8) }
 
 func TestNotifyContractTCP(t *testing.T) {
 	notifyContract(t, func() (transport.Transport, string) {
@@ -74,7 +74,7 @@
 func TestNotifyFallsBackToCall(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	server := network.Transport("a")
-	deliveries := newReceived()
+	deliveries := newDeliveries()
 	_ = server.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
 		deliveries <- "called"
 		return []byte{}, nil
