--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -87,8 +87,9 @@
 
 // Placement.
 const (
-	// DowngradeAlert is the share of placements above which downgrades are logged as
-	// over-discounting.
+	// DowngradeAlert is the share of placements above which downgrades are logged: placements for
+	// which the residency weight changed the choice of the worker. More of them mean that the weight
+	// discounts prefix matches too much.
 	DowngradeAlert = 0.02
 	// IndexLeavesMax is the maximum number of leaves of the prefix index. Memory is priced.
 	IndexLeavesMax = 4000
--- a/internal/platform/constants/gossip.go
+++ b/internal/platform/constants/gossip.go
@@ -51,7 +51,8 @@
 	ScoreJitterMs = 1.0
 	// SubsetThreshold is the number of workers of a service up to which a node considers all of
 	// them. Of more, it considers SubsetSize, and in addition up to PrefixWorkersMax home workers
-	// and up to PrefixWorkersMax holders of a long prefix.
+	// and up to PrefixWorkersMax holders of a long prefix. For items of batch jobs it considers all
+	// workers in any case.
 	SubsetThreshold  = 24
 	SubsetSize       = 8
 	PrefixWorkersMax = 4
--- a/internal/platform/constants/slowness.go
+++ b/internal/platform/constants/slowness.go
@@ -22,8 +22,9 @@
 	// CopyGap is how many durable records a joiner may lack when the leader sends the rest
 	// directly: the records of a fraction of a second.
 	CopyGap = 64
-	// CopyRetries is how many further members a joiner copies from after a copy that ended
-	// early. The leader's own link already carries every new record.
+	// CopyRetries is how many copies in a row may end early before the leader sends the rest to the
+	// joiner. After each of them the joiner copies from another member, since the leader's own link
+	// already carries every new record.
 	CopyRetries = 3
 	// ResignBackoff is the minimum time between two resignations of a process because it is slow.
 	ResignBackoff = 10 * time.Second
