--- a/internal/tooling/crowd/crowd.go
+++ b/internal/tooling/crowd/crowd.go
@@ -18,14 +18,15 @@
 	"lemonarch/internal/platform/errs"
 )
 
-// ErrInvalidCrowd is the error of a crowd or a watch that can't be started.
+// ErrInvalidCrowd is the kind of the errors of NewWatch: an invalid address, or a process whose status
+// can't be read.
 var ErrInvalidCrowd = errs.Define("crowd")
 
 const (
 	// dialTimeout bounds one connection attempt of a member.
 	dialTimeout = 2 * time.Second
-	// settleTimeout limits how long a member tries to connect and send, even if the process reads
-	// slowly.
+	// settleTimeout is the time after which a member starts no further round, and the time that it has
+	// in each round to send its request, so that it is settled in time even if the process reads slowly.
 	settleTimeout = 8 * time.Second
 	// statusNone is counted for a connection that ended without a status line.
 	statusNone = 0
@@ -43,6 +44,7 @@
 	// Request is the request that each member sends.
 	Request Request
 
+	// lock guards open, closed and statuses.
 	lock     sync.Mutex
 	open     map[net.Conn]struct{}
 	closed   bool
@@ -99,7 +101,7 @@
 }
 
 // Statuses returns the number of responses by status code; 0 counts the connections that ended
-// without one.
+// without one. Responses and ends of connections after Close are not counted.
 func (c *Crowd) Statuses() map[int]int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/tooling/crowd/harness_test.go
+++ b/internal/tooling/crowd/harness_test.go
@@ -34,11 +34,11 @@
 	network     = "127.0.93"
 )
 
-// The ordinary caller's number of tries, the pause between them and the timeout of one try.
+// The ordinary caller's number of attempts, the pause between them and the timeout of one attempt.
 const (
-	callerTries   = 40
-	callerPauseMs = 250
-	callerTimeout = 5 * time.Second
+	callerAttempts = 40
+	callerPauseMs  = 250
+	callerTimeout  = 5 * time.Second
 )
 
 // programs is the folder of the programs under test, which TestMain builds.
@@ -131,7 +131,7 @@
 }
 
 // checkWithCrowd runs a crowd against a listener. While the crowd is connected, every listener must
-// answer ordinary requests. Afterwards no process of the fleet may have ended, and neither the
+// serve ordinary requests. Afterwards no process of the fleet may have ended, and neither the
 // listener's process nor the store may have exceeded the limits in its settings.
 func (f *fleet) checkWithCrowd(t *testing.T, at target, members int, request Request) {
 	t.Helper()
@@ -172,7 +172,7 @@
 func megabytes(bytes int64) float64 { return float64(bytes) / 1e6 }
 
 // checkOrdinaryRequests sends ordinary requests to each listener and fails the test if one is not
-// answered.
+// served.
 func (f *fleet) checkOrdinaryRequests(t *testing.T) {
 	t.Helper()
 
@@ -184,24 +184,24 @@
 }
 
 // checkServed sends one ordinary request and retries it after a failure or a rejection, as the
-// documentation requires of callers: each try is on a new connection with an id of its own.
+// documentation requires of callers: each attempt is on a new connection with an id of its own.
 func (f *fleet) checkServed(t *testing.T, method, url string, body []byte) {
 	t.Helper()
 
 	client := http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	lastResult := ""
-	for try := range callerTries {
+	for attempt := range callerAttempts {
 		request, err := http.NewRequest(method, url, bytes.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
 		request.Host = lab.Host
-		request.Header.Set("Lemonarch-Attempt-Id", fmt.Sprintf("ordinary-%d-%d", len(body), try))
+		request.Header.Set("Lemonarch-Attempt-Id", fmt.Sprintf("ordinary-%d-%d", len(body), attempt))
 		resp, err := client.Do(request)
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				t.Logf("%s answered at try %d", url, try+1)
+				t.Logf("%s answered at try %d", url, attempt+1)
 				return
 			}
 			lastResult = resp.Status
@@ -210,5 +210,5 @@
 		}
 		clock.Sleep(clock.Milliseconds(callerPauseMs))
 	}
-	t.Errorf("%s %s: no 200 response in %d tries, last result: %s", method, url, callerTries, lastResult)
+	t.Errorf("%s %s: no 200 response in %d attempts, last result: %s", method, url, callerAttempts, lastResult)
 }
--- a/internal/tooling/crowd/request.go
+++ b/internal/tooling/crowd/request.go
@@ -26,7 +26,7 @@
 // that no two requests have the same id.
 const attemptPlaceholder = "{attempt}"
 
-// writeBytes is the number of bytes of the body that a member writes at a time.
+// writeBytes is the default number of bytes of the body that a member writes at a time.
 const writeBytes = 64 << 10
 
 // Request is the request that a member sends.
--- a/internal/tooling/crowd/watch.go
+++ b/internal/tooling/crowd/watch.go
@@ -31,10 +31,11 @@
 	process int
 	// address is the process's address in the notation of /proc/net/tcp, without the port.
 	address string
-	ports   map[string]bool
-	stop    chan struct{}
-	done    chan struct{}
-	usage   PeakUsage
+	// ports are the process's ports in the same notation.
+	ports map[string]bool
+	stop  chan struct{}
+	done  chan struct{}
+	usage PeakUsage
 }
 
 // NewWatch starts to watch the process with the given id, which listens on the given address and
--- a/internal/tooling/explore/explore.go
+++ b/internal/tooling/explore/explore.go
@@ -86,9 +86,9 @@
 
 // explorer is the state of one exploration.
 type explorer struct {
-	seen   map[key]bool
-	visits []visit
-	result Result
+	visited map[key]bool
+	visits  []visit
+	result  Result
 }
 
 // pendingState is a visited state whose steps were not expanded yet.
@@ -100,7 +100,7 @@
 // Run explores all histories from a start state up to a depth. It stops at the first state that
 // violates an invariant. Next is called on several states concurrently.
 func Run(start State, depth int) Result {
-	run := &explorer{seen: map[key]bool{}}
+	run := &explorer{visited: map[key]bool{}}
 	frontier := run.add(nil, &successor{key: keyOf(start), state: start, name: "start", parent: -1, violation: start.Check()})
 	for ; len(frontier) > 0 && run.result.Depth < depth && run.result.Violation == nil; run.result.Depth++ {
 		frontier = run.expandLevel(frontier)
@@ -146,7 +146,7 @@
 			for i := worker; i < len(batch); i += workers {
 				steps := batch[i].state.Next()
 				counts[worker] += len(steps)
-				lists[i] = w.unseen(steps, batch[i].index)
+				lists[i] = w.unvisited(steps, batch[i].index)
 				batch[i].state = nil
 			}
 		})
@@ -158,11 +158,11 @@
 	return lists
 }
 
-func (w *explorer) unseen(steps []Step, parent int32) []successor {
+func (w *explorer) unvisited(steps []Step, parent int32) []successor {
 	var list []successor
 	for _, step := range steps {
 		stateKey := keyOf(step.To)
-		if !w.seen[stateKey] {
+		if !w.visited[stateKey] {
 			list = append(list, successor{key: stateKey, state: step.To, name: step.Name, parent: parent, violation: step.To.Check()})
 		}
 	}
@@ -176,10 +176,10 @@
 
 // add appends a state to a frontier unless it was visited before.
 func (w *explorer) add(frontier []pendingState, next *successor) []pendingState {
-	if w.seen[next.key] {
+	if w.visited[next.key] {
 		return frontier
 	}
-	w.seen[next.key] = true
+	w.visited[next.key] = true
 	i := int32(len(w.visits))
 	w.visits = append(w.visits, visit{parent: next.parent, name: next.name})
 	if next.violation != nil && w.result.Violation == nil {
--- a/internal/tooling/explore/invariants.go
+++ b/internal/tooling/explore/invariants.go
@@ -137,9 +137,10 @@
 	return nil
 }
 
-// canMiss reports whether a proposal to the sets of a value could miss the chosen value. That
-// is so if the acceptors that have accepted neither the chosen value nor a later one, and know
-// of no newer sets, form a quorum.
+// canMiss reports whether a proposal to the sets of a value could miss the chosen value. An
+// acceptor is unaware of the chosen value if it has accepted no value of that ballot or a later one,
+// and no value with newer sets. A proposal can miss the chosen value if the unaware acceptors form
+// a quorum of the sets.
 func (f *registerState) canMiss(chosen *vote, sets *messages.RegisterValue) bool {
 	unaware := map[string]bool{}
 	for i := range f.processes {
--- a/internal/tooling/explore/lease_test.go
+++ b/internal/tooling/explore/lease_test.go
@@ -6,10 +6,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestOneLeaseIsValid checks that at most one lease is valid at a time although messages are delayed,
-// lost, duplicated or reordered and processes restart. The monotonic clocks run up to a tenth too slow
-// or too fast.
-func TestOneLeaseIsValid(t *testing.T) {
+// TestAtMostOneLeaseIsValid checks that at most one lease is valid at a time although messages are
+// delayed, lost, duplicated or reordered and processes restart. The monotonic clocks run up to a tenth
+// too slow or too fast.
+func TestAtMostOneLeaseIsValid(t *testing.T) {
 	acquired := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		for range leaseHistories {
--- a/internal/tooling/explore/obsolete.go
+++ b/internal/tooling/explore/obsolete.go
@@ -16,8 +16,8 @@
 	for index := range f.requests {
 		message := &f.requests[index]
 		target := &f.processes[f.indexOf(message.member.Name)]
-		refused := register.Less(message.ballot, target.promised) || (target.disk != message.member.Disk && !f.plan.KeepIdentity)
-		if (message.value == none && f.awaitsResponse(message)) || (message.value != none && !refused) {
+		rejected := register.Less(message.ballot, target.promised) || (target.disk != message.member.Disk && !f.plan.KeepIdentity)
+		if (message.value == none && f.awaitsResponse(message)) || (message.value != none && !rejected) {
 			retained = append(retained, *message)
 		}
 	}
--- a/internal/tooling/faultrelay/faultrelay.go
+++ b/internal/tooling/faultrelay/faultrelay.go
@@ -59,7 +59,7 @@
 	ended     chan struct{}
 	// open lists the connections in pairs, the caller's before the server's.
 	open []net.Conn
-	// closed is set once End has closed the open connections; a connection that is accepted
+	// closed is set once Close has closed the open connections; a connection that is accepted
 	// after that is closed at once.
 	closed bool
 	pumps  sync.WaitGroup
@@ -186,10 +186,11 @@
 	return false
 }
 
-// Thaw forwards the bytes that Freeze has delayed.
+// Thaw forwards the bytes that Freeze has delayed. It must be called at most once.
 func (r *Relay) Thaw() { close(r.thawed) }
 
-// Close closes all connections in an orderly way and waits until the bytes read so far have been forwarded.
+// Close closes all connections in an orderly way and waits until the bytes read so far have been
+// forwarded. It must be called once.
 func (r *Relay) Close() {
 	r.listener.Close()
 	close(r.ended)
--- a/internal/tooling/faultrelay/faultrelay_test.go
+++ b/internal/tooling/faultrelay/faultrelay_test.go
@@ -7,9 +7,9 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// TestEndWhileACallerConnects checks that End returns no matter whether a caller connects before, during
-// or after it. A connection accepted during End must not be left open, or End waits for it for ever.
-func TestEndWhileACallerConnects(t *testing.T) {
+// TestCloseWhileACallerConnects checks that Close returns no matter whether a caller connects before,
+// during or after it. If a connection accepted during Close is left open, Close waits for it for ever.
+func TestCloseWhileACallerConnects(t *testing.T) {
 	server, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 		select {
 		case <-ended:
 		case <-clock.After(clock.Milliseconds(timeoutMs)):
-			t.Fatalf("round %d: End did not return within %d ms", round, timeoutMs)
+			t.Fatalf("round %d: Close did not return within %d ms", round, timeoutMs)
 		}
 		caller.Close()
 		// If the relay never accepted the caller, the server has accepted no connection yet: this
--- a/internal/tooling/fleetshell/fleet.go
+++ b/internal/tooling/fleetshell/fleet.go
@@ -24,10 +24,10 @@
 	return processes
 }
 
-// allProcesses returns every process of the fleet. Most processes know only a part of the fleet, while
-// controllers know all of it, so one controller is queried for the zones and then for the
-// processes of each zone, since the size of a response is bounded. If no controller responds, the
-// result is what the seed knows.
+// allProcesses returns every process of the fleet. Most processes know only a part of the fleet, but
+// controllers know all of it. The controllers that the seed knows are tried in turn until one has
+// listed its zones and the processes of each zone; it lists them zone by zone because the size of a
+// response is bounded. If no controller responds, the result is what the seed knows.
 func (s *Shell) allProcesses(seedNodes *messages.StatusResponse) []process {
 	byKey := map[string]process{}
 	for _, proc := range processesOf(seedNodes) {
--- a/internal/tooling/fleetshell/fleetshell.go
+++ b/internal/tooling/fleetshell/fleetshell.go
@@ -66,14 +66,16 @@
 	return names
 }
 
-// Response is the response of one process, or its timeout.
+// Response is the response of one process. TimedOut is set if the call to the process failed, for
+// whatever reason; Status has no meaning then.
 type Response struct {
 	Process  string
 	TimedOut bool
 	Status   messages.StatusResponse
 }
 
-// Shell queries a fleet over a transport. Timeout limits the call to each process.
+// Shell queries a fleet over a transport. Seed is the internal address (host:port) of any process of
+// the fleet. Timeout limits the call to each process.
 type Shell struct {
 	Transport transport.Transport
 	Seed      string
@@ -89,7 +91,8 @@
 	return &Shell{Transport: caller, Seed: seed, Timeout: timeout}, nil
 }
 
-// Query sends a query to every process of the roles that respond to it.
+// Query sends a query, given by its name or an alias, to every process of the roles that respond to it.
+// It returns ErrInvalidCall if there is no such query, and ErrNoFleet if the seed does not respond.
 func (s *Shell) Query(query string) ([]Response, error) {
 	if name, isAlias := Aliases[query]; isAlias {
 		query = name
--- a/internal/tooling/forecast/capacity.go
+++ b/internal/tooling/forecast/capacity.go
@@ -146,9 +146,9 @@
 	return p.eventGapMs(running) / p.eventGapMs(1)
 }
 
-// serviceTimeMs returns how long a request occupies a worker that is neither idle nor full: from the
-// fitted latency model, or the observed duration if there is none. A plain request is slowed down
-// as at a full worker.
+// serviceTimeMs returns how long a request occupies a worker. A stream takes the time of the fitted
+// latency model at a worker with half of its slots in use, or the observed duration if there is no
+// model. A plain request is slowed down as at a full worker.
 func (s *service) serviceTimeMs(freshTokens, events, durationMs float64) float64 {
 	if events <= 1 {
 		return s.plainWorkMs(durationMs) * s.latency.slowdown(s.slots)
--- a/internal/tooling/forecast/constants.go
+++ b/internal/tooling/forecast/constants.go
@@ -2,21 +2,21 @@
 
 const (
 	// horizonAfterSurgeS is how far the default horizon extends past the end of the last surge, in
-	// seconds: queued requests are served or refused by then.
+	// seconds: queued requests are served or rejected by then.
 	horizonAfterSurgeS = 10.0
 	// ShortWaitMs is the highest acceptable mean queue wait of a family, in ms: the family is short
 	// of capacity from the first window of one second whose mean wait is higher. Stated in
 	// docs/forecast.md.
 	ShortWaitMs = 50.0
-	// ShortRefusals is the highest acceptable share of refused requests, applied to the same
+	// ShortRejections is the highest acceptable share of rejected requests, applied to the same
 	// windows.
-	ShortRefusals = 0.02
-	// LateShare is the share of late or refused requests above which a class counts as late.
+	ShortRejections = 0.02
+	// LateShare is the share of late or rejected requests above which a class counts as late.
 	LateShare = 0.05
 	// windowMs is the length of the time windows in which shortages are detected, in ms.
 	windowMs = 1000.0
 	// queueShare is the fraction of its latency target that a request may wait in the queue
-	// before it is refused. Gateways apply constants.QueueShare, a little less, in the same way.
+	// before it is rejected. Gateways apply constants.QueueShare, a little less, in the same way.
 	queueShare = 0.25
 	// observationsMin is the minimum number of placed requests for a prediction about a class;
 	// pointsMin is the minimum number of samples for fitting a line to a service.
--- a/internal/tooling/forecast/forecast_test.go
+++ b/internal/tooling/forecast/forecast_test.go
@@ -199,7 +199,7 @@
 }
 
 // TestRecordAndReview checks that a written forecast can be read, and that a review names the family that
-// ran short since: the one whose requests were refused, or none if there were no refusals.
+// ran short since: the one whose requests were rejected, or none if there were no rejections.
 func TestRecordAndReview(t *testing.T) {
 	state, path := testFleetState(t), t.TempDir()+"/kept.json"
 	text := surgeTOML(trafficTOML("status", "rate = 900.0"))
@@ -222,7 +222,7 @@
 		t.Fatalf("review: got %+v, want agreement on family app", review)
 	}
 	if unchanged := NewReview(reread, testFleetState(t)); unchanged.Agrees || unchanged.ObservedShort != nil {
-		t.Fatalf("review without refusals: got %+v, want no family and no agreement", unchanged)
+		t.Fatalf("review without rejections: got %+v, want no family and no agreement", unchanged)
 	}
 	if _, err = ReadRecord(path + ".none"); err == nil {
 		t.Fatal("got no error for a missing file")
--- a/internal/tooling/forecast/queue.go
+++ b/internal/tooling/forecast/queue.go
@@ -36,8 +36,8 @@
 	return least
 }
 
-// refuseOverdue refuses queued requests that have waited for queueShare of their latency target.
-func (w *world) refuseOverdue(nowMs float64) {
+// rejectOverdue rejects queued requests that have waited for queueShare of their latency target.
+func (w *world) rejectOverdue(nowMs float64) {
 	kept := w.queue[:0]
 	for _, r := range w.queue {
 		if r.arrivedMs+queueShare*r.demand.targetMs > nowMs {
@@ -51,11 +51,11 @@
 }
 
 // recordWait adds a request's wait to the window in which the request arrived.
-func (w *world) recordWait(r *request, waitMs float64, refused bool) {
+func (w *world) recordWait(r *request, waitMs float64, rejected bool) {
 	current := &w.windows[min(int(r.arrivedMs/windowMs), len(w.windows)-1)]
 	current.waitMs += waitMs
-	if refused {
-		current.refused++
+	if rejected {
+		current.rejected++
 	} else {
 		current.placed++
 	}
@@ -98,11 +98,11 @@
 // if there is none.
 func (w *world) shortAtMs() float64 {
 	for i, current := range w.windows {
-		total := current.placed + current.refused
+		total := current.placed + current.rejected
 		if total == 0 {
 			continue
 		}
-		if current.waitMs/float64(total) > ShortWaitMs || float64(current.refused) > ShortRefusals*float64(total) {
+		if current.waitMs/float64(total) > ShortWaitMs || float64(current.rejected) > ShortRejections*float64(total) {
 			return float64(i) * windowMs
 		}
 	}
--- a/internal/tooling/forecast/report.go
+++ b/internal/tooling/forecast/report.go
@@ -47,7 +47,7 @@
 	Class  string `json:"class"`
 	Family string `json:"family"`
 	Late   *bool  `json:"late"`
-	// LateShare is the share of requests that are late or refused; Low and High are the bounds of
+	// LateShare is the share of requests that are late or rejected; Low and High are the bounds of
 	// its interval.
 	LateShare *float64 `json:"late-share"`
 	Low       *float64 `json:"low"`
@@ -151,7 +151,7 @@
 	waits := make([]float64, len(w.windows))
 	for i, current := range w.windows {
 		waits[i] = -1
-		if total := current.placed + current.refused; total > 0 {
+		if total := current.placed + current.rejected; total > 0 {
 			waits[i] = current.waitMs / float64(total)
 		}
 	}
--- a/internal/tooling/forecast/review.go
+++ b/internal/tooling/forecast/review.go
@@ -76,7 +76,8 @@
 // Review compares a forecast with what was observed afterwards.
 type Review struct {
 	// PredictedFirstShort is the family that was predicted to run short of capacity first;
-	// ObservedShort is the one that exceeded its bounds most. Each is nil if there is none.
+	// ObservedShort is the one that exceeded its bounds most. Each is nil if there is none. Agrees
+	// reports whether both are the same family or both are nil.
 	PredictedFirstShort *string       `json:"predicted-first-short"`
 	ObservedShort       *string       `json:"tightened"`
 	Agrees              bool          `json:"agrees"`
@@ -84,7 +85,8 @@
 }
 
 // ClassReview compares the prediction for a class with the observation. Observed is the share of
-// requests that were late, refused or failed; nil if too few requests were observed.
+// requests that were late, rejected or failed; nil if too few requests were observed. Agrees is nil if
+// Observed is nil or nothing was predicted.
 type ClassReview struct {
 	Class         string   `json:"class"`
 	Family        string   `json:"family"`
@@ -98,7 +100,7 @@
 
 // NewReview compares a forecast with what the fleet has observed since. The family that ran short is
 // the one that exceeds its bounds by the largest factor, either for the mean wait (ShortWaitMs) or
-// for the share of refused requests (ShortRefusals).
+// for the share of rejected requests (ShortRejections).
 func NewReview(record *Record, observed *FleetState) *Review {
 	review := &Review{PredictedFirstShort: record.Predicted.FirstShort, Classes: []ClassReview{}}
 	worstExcess := 1.0
@@ -120,7 +122,7 @@
 			}
 		}
 		if total > 0 && !summary.Bulk {
-			excess := max(class.WaitMs/ShortWaitMs, float64(summary.Rejected)/float64(total)/ShortRefusals)
+			excess := max(class.WaitMs/ShortWaitMs, float64(summary.Rejected)/float64(total)/ShortRejections)
 			if excess > worstExcess {
 				name := predicted.Family
 				worstExcess, review.ObservedShort = excess, &name
@@ -144,7 +146,7 @@
 	return nil
 }
 
-// lateShareOf returns the share of a class's requests that were refused, failed, or exceeded a
+// lateShareOf returns the share of a class's requests that were rejected, failed, or exceeded a
 // latency target: that for the first event (or the response) or that for the gap between events.
 func lateShareOf(summary *messages.TrafficSummary, route *routeconfig.Route) float64 {
 	total := float64(summary.Served + summary.Rejected + summary.Failed)
--- a/internal/tooling/forecast/simulate.go
+++ b/internal/tooling/forecast/simulate.go
@@ -36,8 +36,8 @@
 
 // window is the total wait and the outcomes of the requests that arrived in one time window.
 type window struct {
-	waitMs          float64
-	placed, refused int
+	waitMs           float64
+	placed, rejected int
 }
 
 // tally counts the requests of a class that arrived during a surge.
@@ -94,19 +94,19 @@
 	return distuv.Gamma{Alpha: sizeShape, Beta: sizeShape / mean, Src: w.random}.Rand()
 }
 
-// processEvents handles arrivals, ends of phases and refusals in order of time until the horizon.
+// processEvents handles arrivals, ends of phases and rejections in order of time until the horizon.
 func (w *world) processEvents() {
 	for {
 		arrival := w.nextArrival()
 		finishing := w.nextPhaseEnd()
-		refusal := w.nextRefusal()
-		nowMs := min(arrival.nextAtMs(), finishing.nextAtMs(), refusal)
+		rejection := w.nextRejection()
+		nowMs := min(arrival.nextAtMs(), finishing.nextAtMs(), rejection)
 		if nowMs > w.horizonMs {
 			break
 		}
 		switch nowMs {
-		case refusal:
-			w.refuseOverdue(nowMs)
+		case rejection:
+			w.rejectOverdue(nowMs)
 		case finishing.nextAtMs():
 			for _, r := range finishing.completePhases(nowMs) {
 				w.recordCompletion(r, nowMs)
@@ -158,8 +158,8 @@
 	return next
 }
 
-// nextRefusal returns when the next queued request is refused; +Inf if the queue is empty.
-func (w *world) nextRefusal() float64 {
+// nextRejection returns when the next queued request is rejected; +Inf if the queue is empty.
+func (w *world) nextRejection() float64 {
 	at := math.Inf(1)
 	for _, r := range w.queue {
 		at = min(at, r.arrivedMs+queueShare*r.demand.targetMs)
--- a/internal/tooling/forecastcases/cases.go
+++ b/internal/tooling/forecastcases/cases.go
@@ -52,8 +52,11 @@
 	// requests are plain and take this time.
 	ownTokens, sharedTokens, outTokens int64
 	work                               clock.Duration
-	targetMs, gapMs                    float64
-	capacityPerEngine                  float64
+	// targetMs is the latency target for the first event, or for the response to a plain request.
+	// gapMs is the target for the time between two events, 0 if there is none.
+	targetMs, gapMs float64
+	// capacityPerEngine is in requests per second.
+	capacityPerEngine float64
 }
 
 // Generate draws a case of three to five families. One of them is generated to run short of the
--- a/internal/tooling/forecastcases/requests.go
+++ b/internal/tooling/forecastcases/requests.go
@@ -19,7 +19,7 @@
 		case workeremulator.EffectFinish:
 			engine.assigned--
 			f.finish(r)
-		case workeremulator.EffectRefuse, workeremulator.EffectExpire:
+		case workeremulator.EffectReject, workeremulator.EffectExpire:
 			engine.assigned--
 			f.recordOutcome(r, trafficstats.OutcomeRejected, true)
 		}
--- a/internal/tooling/forecastcases/simulation.go
+++ b/internal/tooling/forecastcases/simulation.go
@@ -11,7 +11,7 @@
 )
 
 // queueShare is the fraction of a class's latency target that its requests wait for an engine before
-// they are refused, as in package forecast. That of gateways is a little less (constants.QueueShare).
+// they are rejected, as in package forecast. That of gateways is a little less (constants.QueueShare).
 const queueShare = 0.25
 
 // windowMs is the length of the time windows in which a family's shortage is detected, with the same
@@ -28,8 +28,9 @@
 	engines  []*engineState
 	queue    []*request
 	requests map[int64]*request
-	tickets  int64
-	nextAt   clock.Instant
+	// tickets is the number of tickets issued; nextAt is when the next request arrives.
+	tickets int64
+	nextAt  clock.Instant
 	// surgeFrom and surgeUntil are the start and the end of the surge.
 	surgeFrom, surgeUntil clock.Instant
 	windows               []window
@@ -59,8 +60,8 @@
 
 // window is the total wait and the outcomes of the requests that arrived in one time window.
 type window struct {
-	waitMs         float64
-	total, refused int
+	waitMs          float64
+	total, rejected int
 }
 
 func newFamilySimulation(plan *familyPlan, seed uint64, surgeFrom, surgeUntil clock.Instant) *familySimulation {
@@ -111,7 +112,7 @@
 		case at == f.nextAt:
 			f.arrive()
 		}
-		f.refuseOverdue()
+		f.rejectOverdue()
 		f.place()
 	}
 }
@@ -162,7 +163,7 @@
 	f.handleEffects(target, target.engine.Step(workeremulator.Event{Kind: workeremulator.EventArrive, Request: work}, f.now))
 }
 
-// overdueAt returns when the first queued request is refused.
+// overdueAt returns when the first queued request is rejected.
 func (f *familySimulation) overdueAt() clock.Instant {
 	if len(f.queue) == 0 {
 		return math.MaxInt64
@@ -170,7 +171,7 @@
 	return f.queue[0].arrivedAt.Add(clock.Milliseconds(queueShare * f.plan.class.targetMs))
 }
 
-func (f *familySimulation) refuseOverdue() {
+func (f *familySimulation) rejectOverdue() {
 	for len(f.queue) > 0 && f.overdueAt() <= f.now {
 		r := f.queue[0]
 		f.queue = f.queue[1:]
@@ -180,15 +181,15 @@
 }
 
 // recordWait adds a request's wait to the window in which the request arrived.
-func (f *familySimulation) recordWait(r *request, refused bool) {
+func (f *familySimulation) recordWait(r *request, rejected bool) {
 	i := int(clock.ToMilliseconds(r.arrivedAt.Sub(0)) / windowMs)
 	for len(f.windows) <= i {
 		f.windows = append(f.windows, window{})
 	}
 	f.windows[i].waitMs += clock.ToMilliseconds(f.now.Sub(r.arrivedAt))
 	f.windows[i].total++
-	if refused {
-		f.windows[i].refused++
+	if rejected {
+		f.windows[i].rejected++
 	}
 }
 
@@ -198,7 +199,7 @@
 	from := int(clock.ToMilliseconds(f.surgeFrom.Sub(0)) / windowMs)
 	for i := from; i < len(f.windows); i++ {
 		w := f.windows[i]
-		if w.total > 0 && (w.waitMs/float64(w.total) > forecast.ShortWaitMs || float64(w.refused) > forecast.ShortRefusals*float64(w.total)) {
+		if w.total > 0 && (w.waitMs/float64(w.total) > forecast.ShortWaitMs || float64(w.rejected) > forecast.ShortRejections*float64(w.total)) {
 			return float64(i - from)
 		}
 	}
--- a/internal/tooling/forecastlab/watch.go
+++ b/internal/tooling/forecastlab/watch.go
@@ -27,7 +27,7 @@
 	collector *forecast.Collector
 	// previous is, by family, the totals of the previous poll.
 	previous map[string]queueTotals
-	// shortAt is, by family, when its wait or its share of refusals first exceeded its bound.
+	// shortAt is, by family, when its wait or its share of rejections first exceeded its bound.
 	shortAt map[string]clock.Instant
 }
 
@@ -57,8 +57,8 @@
 			continue
 		}
 		wait := (current.waitMs - previous.waitMs) / float64(requests)
-		refused := float64(current.rejected-previous.rejected) / float64(requests)
-		if _, noted := w.shortAt[summary.Service]; !noted && (wait > forecast.ShortWaitMs || refused > forecast.ShortRefusals) {
+		rejected := float64(current.rejected-previous.rejected) / float64(requests)
+		if _, noted := w.shortAt[summary.Service]; !noted && (wait > forecast.ShortWaitMs || rejected > forecast.ShortRejections) {
 			w.shortAt[summary.Service] = now
 		}
 	}
--- a/internal/tooling/lab/configuration.go
+++ b/internal/tooling/lab/configuration.go
@@ -36,7 +36,8 @@
 	return config.Encode()
 }
 
-// labRoute completes a route with its name, host and prefix, and with two tries if it sets none.
+// labRoute completes a route with its name, host and prefix, and with a maximum of two attempts if it
+// sets none.
 func labRoute(name string, route routeconfig.Route) routeconfig.Route {
 	route.Name, route.Host, route.Prefix = name, Host, "/"+name+"/"
 	if route.MaxAttempts == 0 {
--- a/internal/tooling/lab/fleet.go
+++ b/internal/tooling/lab/fleet.go
@@ -198,5 +198,5 @@
 	})
 }
 
-// Routes returns the routes of the last configuration that was sent through this fleet.
+// Routes returns the routes of the last configuration that a controller accepted from the lab.
 func (f *Fleet) Routes() []routeconfig.Route { return f.operator.routes() }
--- a/internal/tooling/lab/lab_test.go
+++ b/internal/tooling/lab/lab_test.go
@@ -36,8 +36,8 @@
 func ownNetwork(t *testing.T) string {
 	t.Helper()
 
-	const tries = 1000
-	for number := os.Getpid(); number < os.Getpid()+tries; number++ {
+	const attempts = 1000
+	for number := os.Getpid(); number < os.Getpid()+attempts; number++ {
 		network := fmt.Sprintf("127.%d.%d", 1+number/256%250, number%256)
 		listener, err := net.Listen("tcp4", network+".254:7099")
 		if err == nil {
--- a/internal/tooling/lab/operator.go
+++ b/internal/tooling/lab/operator.go
@@ -22,8 +22,9 @@
 // operator sends configurations to the controllers, each based on the previous one.
 type operator struct {
 	controls []string
-	lock     sync.Mutex
-	config   *routeconfig.Config
+	// lock guards config, which is the last configuration accepted; nil if there is none.
+	lock   sync.Mutex
+	config *routeconfig.Config
 }
 
 type httpResponse struct {
--- a/internal/tooling/lab/process.go
+++ b/internal/tooling/lab/process.go
@@ -49,6 +49,7 @@
 	// restarting is locked while a trouble stops the process and starts it again.
 	restarting sync.Mutex
 
+	// lock guards the fields after it. exited is closed once the process has exited.
 	lock    sync.Mutex
 	command *exec.Cmd
 	exited  chan struct{}
--- a/internal/tooling/lab/workers.go
+++ b/internal/tooling/lab/workers.go
@@ -27,6 +27,7 @@
 	workerSettings workeremulator.Settings
 	seed           int64
 
+	// lock guards the fields after it.
 	lock        sync.Mutex
 	incarnation int
 	worker      *workeremulator.Worker
--- a/internal/tooling/linearize/controller.go
+++ b/internal/tooling/linearize/controller.go
@@ -18,8 +18,10 @@
 	acceptor    *register.Acceptor
 	down        bool
 	incarnation int64
-	counter     uint64
-	known       messages.RegisterValue
+	// counter is the highest ballot counter that the process has used, or has seen when it lost a
+	// proposal. known is the value with the newest acceptor sets that it has received.
+	counter uint64
+	known   messages.RegisterValue
 }
 
 // start reads the acceptor's record from the disk. A new incarnation has no other state.
--- a/internal/tooling/linearize/jobs_test.go
+++ b/internal/tooling/linearize/jobs_test.go
@@ -21,6 +21,7 @@
 	return history.Check(JobsModel(), checkLimit)
 }
 
+// TestJobsModel checks which histories of one batch job the sequential model allows.
 func TestJobsModel(t *testing.T) {
 	submit, end := JobCall{Kind: JobSubmit, Job: "x"}, JobCall{Kind: JobEnd, Job: "x"}
 	read := func(from int) JobCall { return JobCall{Kind: JobRead, Job: "x", From: from} }
--- a/internal/tooling/linearize/linearize_test.go
+++ b/internal/tooling/linearize/linearize_test.go
@@ -28,7 +28,9 @@
 	return fleet, fleet.History.Check(RegisterModel(), checkLimit)
 }
 
-func TestOperatorsSeeARegister(t *testing.T) {
+// TestRegisterHistoriesAreLinearizable checks that the responses of the simulated fleet are those of one
+// compare-and-set register although machines restart, lose their disks or are partitioned.
+func TestRegisterHistoriesAreLinearizable(t *testing.T) {
 	calls, clear, epochs := 0, 0, 0
 	for seed := range int64(simulation.Seeds(200)) {
 		fleet, err := runHistory(t, seed, Defects{})
--- a/internal/tooling/linearize/operators.go
+++ b/internal/tooling/linearize/operators.go
@@ -48,7 +48,7 @@
 
 func (f *Fleet) version(number int, base int64, last messages.Version) messages.Version {
 	if last.Generation > 0 && f.world.Random.Intn(5) == 0 {
-		// Send the same bytes again although the call may already have been answered.
+		// Send the same bytes again although the call may already have had its response.
 		return last
 	}
 	version := messages.Version{Base: base, Hash: fmt.Sprint("operator", number)}
@@ -99,12 +99,13 @@
 	send(sendsMax)
 }
 
-// serve handles a call at a controller machine.
-func (f *Fleet) serve(node *controller, call RegisterCall, resp func(reply RegisterReply)) {
+// serve handles a call at a controller machine. It calls respond at most once: not at all if the read or
+// proposal does not succeed, or if the process crashes.
+func (f *Fleet) serve(node *controller, call RegisterCall, respond func(reply RegisterReply)) {
 	if call.Version.Generation == 0 {
 		f.read(node, func(value *messages.RegisterValue) {
 			if value != nil {
-				resp(RegisterReply{Outcome: RegisterRead, Found: value.Current})
+				respond(RegisterReply{Outcome: RegisterRead, Found: value.Current})
 			}
 		})
 		return
@@ -116,7 +117,7 @@
 	}
 	f.propose(node, change, attempts, func(value *messages.RegisterValue) {
 		if value != nil {
-			resp(RegisterReply{Outcome: outcome(result)})
+			respond(RegisterReply{Outcome: outcome(result)})
 		}
 	})
 }
--- a/internal/tooling/linearize/propose.go
+++ b/internal/tooling/linearize/propose.go
@@ -119,7 +119,7 @@
 }
 
 // read tries a quorum read and falls back to a full proposal if that does not determine the
-// value.
+// value. It calls done as propose does.
 func (f *Fleet) read(node *controller, done func(value *messages.RegisterValue)) {
 	if node.down || len(node.known.Acceptors) == 0 {
 		done(nil)
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -61,6 +61,8 @@
 	}
 }
 
+// TestSealAndBody checks that a plain response is a finding if its seal, its echoed attempt id or its body
+// is not that of the attempt.
 func TestSealAndBody(t *testing.T) {
 	body := []byte("b")
 	validBody := workeremulator.PlainBody("a", body)
@@ -86,6 +88,7 @@
 	return fmt.Sprintf("id: %d\ndata: %s\n", number, workeremulator.EventData("a", number))
 }
 
+// TestOrderOfEvents checks that a stream with a missing, repeated, surplus or wrong event is a finding.
 func TestOrderOfEvents(t *testing.T) {
 	for name, test := range map[string]struct {
 		from   int64
@@ -121,6 +124,8 @@
 	}
 }
 
+// TestPagesOfAJob checks that a page of a batch job is a finding if it has wrong items or differs from an
+// earlier read.
 func TestPagesOfAJob(t *testing.T) {
 	first := jobclient.Output{ID: "i1", Phase: jobclient.PhaseSettled, Text: completeText("i1", 2)}
 	second := jobclient.Output{ID: "i2", Phase: jobclient.PhaseSettled, Text: completeText("i2", 3)}
--- a/internal/tooling/loadgen/drive.go
+++ b/internal/tooling/loadgen/drive.go
@@ -184,7 +184,7 @@
 	sent.cut = true
 }
 
-// recordOutcome records the outcome of an attempt that was answered.
+// recordOutcome records the outcome of an attempt that received a response, complete or not.
 func (r *run) recordOutcome(sent *sentAttempt, notExecuted, succeeded bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -134,14 +134,14 @@
 
 // TestRetriesByStatus checks which requests are retried. A 503 promises that the request has not run, so
 // every kind is retried; after a 502 only kinds that may run more than once are retried, after a 400
-// none. Each try has an attempt id of its own.
+// none. Each attempt has an id of its own.
 func TestRetriesByStatus(t *testing.T) {
 	for status, want := range map[int]string{503: "failed 0", 502: "failed confirm review", 400: "failed confirm query review status"} {
 		sent := map[string]bool{}
 		result := runWithWorkers(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 			attempt := request.Header.Get("Lemonarch-Attempt-Id")
 			if sent[attempt] {
-				t.Errorf("status %d: attempt id %s was sent twice, want a new one for each try", status, attempt)
+				t.Errorf("status %d: attempt id %s was sent twice, want a new one for each attempt", status, attempt)
 			}
 			sent[attempt] = true
 			if strings.HasSuffix(attempt, "-1") {
--- a/internal/tooling/loadgen/jobs.go
+++ b/internal/tooling/loadgen/jobs.go
@@ -80,7 +80,7 @@
 		return
 	}
 	r.result.countSubmission(clock.Now().Sub(started))
-	resultSetpoint, reads, answered := clock.Milliseconds(route.ResultMs), 0, false
+	resultSetpoint, reads, readSucceeded := clock.Milliseconds(route.ResultMs), 0, false
 	for len(check.outputs) < len(job.Requests) && ctx.Err() == nil {
 		reads++
 		cursor := len(check.outputs)
@@ -91,7 +91,7 @@
 		before := len(check.outputs)
 		page, err := client.Read(ctx, check.id, cursor, 0)
 		r.checkRead(check, cursor, page, err)
-		answered = answered || err == nil
+		readSucceeded = readSucceeded || err == nil
 		if err == nil {
 			took := clock.Now().Sub(started)
 			for _, output := range check.outputs[before:] {
@@ -100,7 +100,7 @@
 		}
 		clock.Sleep(constants.LoadPollBackoff)
 	}
-	if !answered {
+	if !readSucceeded {
 		r.result.addFinding(Finding{"LOST", check.id, "job was accepted, but no read of it returned a complete response"})
 	}
 	if missing := len(job.Requests) - len(check.outputs); missing > 0 {
--- a/internal/tooling/loadgen/mix.go
+++ b/internal/tooling/loadgen/mix.go
@@ -25,20 +25,20 @@
 type profile struct {
 	// worth is what a response in time earns.
 	worth float64
-	// heads is the number of different shared prompt heads, each of headTokens tokens. sessions is
+	// prefixes is the number of different shared prompt prefixes, each of prefixTokens tokens. sessions is
 	// the number of different session parts, each of sessionTokensMin to sessionTokensMax tokens.
-	// If heads is 0, the requests of the kind have no prompt.
-	heads, headTokens, sessions, sessionTokensMin, sessionTokensMax int
-	outputTokensMin, outputTokensMax                                int
+	// If prefixes is 0, the requests of the kind have no prompt.
+	prefixes, prefixTokens, sessions, sessionTokensMin, sessionTokensMax int
+	outputTokensMin, outputTokensMax                                     int
 }
 
 // profiles are the profiles of the kinds of requests by route name in the lab's own configuration.
 var profiles = map[string]profile{
-	"query":   {worth: 2, heads: 8, headTokens: 160, sessions: 200, sessionTokensMin: 100, sessionTokensMax: 600, outputTokensMin: 16, outputTokensMax: 48},
-	"review":  {worth: 3, heads: 6, headTokens: 3000, sessions: 60, sessionTokensMin: 400, sessionTokensMax: 1500, outputTokensMin: 12, outputTokensMax: 24},
+	"query":   {worth: 2, prefixes: 8, prefixTokens: 160, sessions: 200, sessionTokensMin: 100, sessionTokensMax: 600, outputTokensMin: 16, outputTokensMax: 48},
+	"review":  {worth: 3, prefixes: 6, prefixTokens: 3000, sessions: 60, sessionTokensMin: 400, sessionTokensMax: 1500, outputTokensMin: 12, outputTokensMax: 24},
 	"confirm": {worth: 1},
 	"status":  {worth: 1},
-	"batch":   {worth: 2, heads: 4, headTokens: 400, sessions: 1 << 30, sessionTokensMin: 100, sessionTokensMax: 800, outputTokensMin: 20, outputTokensMax: 60},
+	"batch":   {worth: 2, prefixes: 4, prefixTokens: 400, sessions: 1 << 30, sessionTokensMin: 100, sessionTokensMax: 800, outputTokensMin: 20, outputTokensMax: 60},
 }
 
 // Share is the share of one kind of request in a mix, relative to the parts of the other kinds.
@@ -96,16 +96,16 @@
 // prompt draws a prompt of the profile.
 func (p profile) prompt(random *rand.Rand) prompt {
 	between := func(low, high int) int { return low + random.Intn(high-low+1) }
-	head, session := random.Intn(p.heads), random.Intn(p.sessions)
+	prefix, session := random.Intn(p.prefixes), random.Intn(p.sessions)
 	// The size depends on the session only. If it changed from request to request, the cached
 	// prefix of a session would never be hit.
 	own := p.sessionTokensMin + session%(p.sessionTokensMax-p.sessionTokensMin+1)
-	return prompt{inputTokens: int64(p.headTokens + own), outputTokens: int64(between(p.outputTokensMin, p.outputTokensMax)),
-		prefixParts: fmt.Sprintf("a%x:%d,b%x%x:%d", head+p.headTokens<<8, p.headTokens, head, session+p.headTokens<<32, own)}
+	return prompt{inputTokens: int64(p.prefixTokens + own), outputTokens: int64(between(p.outputTokensMin, p.outputTokensMax)),
+		prefixParts: fmt.Sprintf("a%x:%d,b%x%x:%d", prefix+p.prefixTokens<<8, p.prefixTokens, prefix, session+p.prefixTokens<<32, own)}
 }
 
-// requestSpec is one request to be served, with all its tries. node is the index of the gateway of
-// the first try.
+// requestSpec is one request to be served, with all its attempts. node is the index of the gateway of
+// the first attempt.
 type requestSpec struct {
 	kind   string
 	route  *routeconfig.Route
@@ -130,7 +130,7 @@
 }
 
 // schedule draws the requests of a run: Poisson arrivals at a rate (open load). For a seed they are
-// the same regardless of the fleet's responses and, apart from the node of each first try, of its
+// the same regardless of the fleet's responses and, apart from the node of each first attempt, of its
 // number of nodes.
 func schedule(options *Options, routes map[string]*routeconfig.Route, nodes int) []arrival {
 	random := rand.New(rand.NewSource(options.Seed))
@@ -143,7 +143,7 @@
 		}
 		kind := drawKind(options.Mix, random)
 		spec := &requestSpec{kind: kind, route: routes[kind], number: number, node: int(random.Float64() * float64(nodes)), body: []byte("order " + strconv.Itoa(number))}
-		if profiles[kind].heads > 0 {
+		if profiles[kind].prefixes > 0 {
 			spec.prompt = profiles[kind].prompt(random)
 		}
 		arrivals = append(arrivals, arrival{clock.Milliseconds(at), spec})
--- a/internal/tooling/loadgen/options.go
+++ b/internal/tooling/loadgen/options.go
@@ -28,8 +28,8 @@
 	// Seed determines all random draws of the load.
 	Seed int64
 	// PlannedOnly is set if the fleet is only subject to planned work, not to faults. A request
-	// that a worker ran must then be answered: a connection of such a request that ends without a
-	// complete response is a finding.
+	// that a worker ran must then receive a complete response: if its connection ends before that,
+	// this is a finding.
 	PlannedOnly bool
 	// Progress, if not nil, is called periodically with a line about the progress of the load.
 	Progress func(text string)
@@ -85,14 +85,14 @@
 // Experiment is the content of a TOML experiment file: the load, the fleets that are compared, and
 // the troubles with their times.
 type Experiment struct {
-	Rate    float64 `toml:"rate"`
-	JobRate float64 `toml:"lots"`
-	Items   int     `toml:"items"`
-	Mix     string  `toml:"mix"`
-	ForS    float64 `toml:"for-s"`
-	Count   int     `toml:"count"`
-	Tries   int     `toml:"tries"`
-	Seed    int64   `toml:"seed"`
+	Rate        float64 `toml:"rate"`
+	JobRate     float64 `toml:"lots"`
+	Items       int     `toml:"items"`
+	Mix         string  `toml:"mix"`
+	ForS        float64 `toml:"for-s"`
+	Count       int     `toml:"count"`
+	MaxAttempts int     `toml:"tries"`
+	Seed        int64   `toml:"seed"`
 	// PlannedOnly is Options.PlannedOnly.
 	PlannedOnly bool          `toml:"planned-only"`
 	Fleets      []lab.Plan    `toml:"fleet"`
--- a/internal/tooling/loadgen/result.go
+++ b/internal/tooling/loadgen/result.go
@@ -38,8 +38,10 @@
 type Result struct {
 	Label string `json:"label"`
 	// Worth is the share of the possible worth that was earned over all kinds, 0 to 1.
-	Worth   float64        `json:"worth"`
-	Kinds   []*KindResult  `json:"kinds"`
+	Worth float64       `json:"worth"`
+	Kinds []*KindResult `json:"kinds"`
+	// Causes counts the failed requests and items by kind and cause, Retried the failed attempts that
+	// were retried by cause.
 	Causes  map[string]int `json:"failures-by-cause"`
 	Retried map[string]int `json:"tries-again-by-cause"`
 	// Findings are the first rule violations, at most constants.LoadFindings of them. Broken is the
@@ -47,10 +49,13 @@
 	Findings []Finding `json:"findings"`
 	Broken   int       `json:"broken"`
 	Notes    []string  `json:"notes"`
-	NotSent  int       `json:"not-sent"`
-	Runs     int       `json:"runs-at-workers"`
-	Took     float64   `json:"took-s"`
+	// NotSent is the number of requests not sent because too many were in flight, Runs the number of
+	// runs that the workers recorded, Took the duration of the load in seconds.
+	NotSent int     `json:"not-sent"`
+	Runs    int     `json:"runs-at-workers"`
+	Took    float64 `json:"took-s"`
 
+	// lock guards the results of the kinds, the causes, findings and notes, and NotSent.
 	lock  sync.Mutex
 	kinds map[string]*KindResult
 }
@@ -101,11 +106,11 @@
 func (r *Result) countServed(spec *requestSpec, state *requestState, now clock.Instant) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	answered := state.firstEvent
-	if answered == 0 {
-		answered = now
+	respondedAt := state.firstEvent
+	if respondedAt == 0 {
+		respondedAt = now
 	}
-	latency := answered.Sub(state.started)
+	latency := respondedAt.Sub(state.started)
 	inTime := latency <= spec.route.Setpoint() && (spec.route.GapMs <= 0 || state.maxGap <= clock.Milliseconds(spec.route.GapMs))
 	r.count(spec.kind, inTime, true).record(latency)
 }
--- a/internal/tooling/loadgen/send.go
+++ b/internal/tooling/loadgen/send.go
@@ -68,16 +68,16 @@
 	}
 }
 
-// sendAttempt sends one attempt to one node. Each try of a request has an attempt id of its own and
-// goes to the next node.
-func (r *run) sendAttempt(spec *requestSpec, state *requestState, try int) attemptResult {
-	attempt := r.prefix + strconv.Itoa(spec.number) + "-" + strconv.Itoa(try)
+// sendAttempt sends one attempt to one node; attemptNumber is 1 for the first. Each attempt of a request
+// has an id of its own and goes to the next node.
+func (r *run) sendAttempt(spec *requestSpec, state *requestState, attemptNumber int) attemptResult {
+	attempt := r.prefix + strconv.Itoa(spec.number) + "-" + strconv.Itoa(attemptNumber)
 	path := spec.route.Prefix + strconv.Itoa(spec.number)
 	sent := r.recordAttempt(attempt, path, spec.body, spec.route, !repeatable(spec.route), false)
 	remaining := state.deadline.Sub(clock.Now())
 	ctx, cancel := contexts.WithTimeout(contexts.Background(), remaining)
 	defer cancel()
-	node := r.info.Ingress[(spec.node+try-1)%len(r.info.Ingress)]
+	node := r.info.Ingress[(spec.node+attemptNumber-1)%len(r.info.Ingress)]
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+path, bytes.NewReader(spec.body))
 	if err != nil {
 		return attemptResult{cause: "unsendable", permanent: true}
@@ -85,7 +85,7 @@
 	// With GetBody net/http may send the request a second time without the caller's knowledge.
 	// Every send must be recorded as an attempt.
 	request.GetBody = nil
-	request.Host, request.Close = spec.route.Host, try > 1
+	request.Host, request.Close = spec.route.Host, attemptNumber > 1
 	header := request.Header
 	header.Set("Lemonarch-Attempt-Id", attempt)
 	header.Set("Lemonarch-Time-Left-Ms", strconv.FormatInt(remaining.Milliseconds(), 10))
@@ -115,7 +115,7 @@
 	default:
 		outcome = readErrorResponse(resp)
 	}
-	if outcome.cause == causeAnswerCut || outcome.cause == causeStreamCut {
+	if outcome.cause == causeResponseCut || outcome.cause == causeStreamCut {
 		r.recordCut(sent)
 	}
 	r.recordOutcome(sent, outcome.notExecuted, outcome.cause == "")
@@ -142,9 +142,9 @@
 
 // The causes if a connection ended before a response, or within one.
 const (
-	causeCut       = "connection cut"
-	causeAnswerCut = "answer cut"
-	causeStreamCut = "stream cut"
+	causeCut         = "connection cut"
+	causeResponseCut = "answer cut"
+	causeStreamCut   = "stream cut"
 )
 
 // causeOf returns the cause of a failed round trip.
@@ -165,7 +165,7 @@
 func readPlain(spec *requestSpec, state *requestState, attempt string, resp *http.Response) attemptResult {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return attemptResult{cause: causeAnswerCut}
+		return attemptResult{cause: causeResponseCut}
 	}
 	state.firstEvent = clock.Now()
 	if finding := checkPlain(attempt, spec.body, resp.Header.Get("Lemonarch-Server-Seal"), resp.Header.Get("Lemonarch-Attempt-Id"), body); finding != nil {
--- a/internal/tooling/soak/schedule.go
+++ b/internal/tooling/soak/schedule.go
@@ -38,7 +38,8 @@
 type Schedule struct {
 	Options
 	// PlannedOnly means that the schedule contains only planned work: graceful stops, SIGHUP,
-	// configuration changes, workers that leave. Then no request may be cut.
+	// configuration changes, workers that leave. Then every request that a worker ran must receive a
+	// complete response.
 	PlannedOnly bool
 	Experiment  loadgen.Experiment
 }
@@ -56,7 +57,7 @@
 	plan := lab.NewPlan()
 	plan.Label, plan.Programs, plan.Seed = "soak-"+strconv.FormatInt(options.Seed, 10), options.Programs, options.Seed
 	g.fleetSizes(&plan, options.Processes)
-	schedule.Experiment = loadgen.Experiment{Rate: 80, JobRate: 0.5, Items: 10, ForS: options.Duration.Seconds(), Tries: 2, Seed: options.Seed,
+	schedule.Experiment = loadgen.Experiment{Rate: 80, JobRate: 0.5, Items: 10, ForS: options.Duration.Seconds(), MaxAttempts: 2, Seed: options.Seed,
 		PlannedOnly: schedule.PlannedOnly, Fleets: []lab.Plan{plan}}
 	g.gatewayTroubles(plan.Gateways, schedule.PlannedOnly)
 	g.diskProcessTroubles(&plan, schedule.PlannedOnly)
--- a/internal/tooling/workeremulator/connection.go
+++ b/internal/tooling/workeremulator/connection.go
@@ -60,7 +60,7 @@
 	for done := false; !done; {
 		select {
 		case effect := <-waiting.effects:
-			if effect.Kind == EffectRefuse {
+			if effect.Kind == EffectReject {
 				w.rejectNotExecuted(writer, http.StatusServiceUnavailable, "full")
 				return
 			}
--- a/internal/tooling/workeremulator/engine.go
+++ b/internal/tooling/workeremulator/engine.go
@@ -109,7 +109,7 @@
 	}
 	tooLarge := arrived.Work == 0 && e.shape.CacheTokens > 0 && totalTokens(req.parts)+arrived.Out > e.shape.CacheTokens
 	if tooLarge || len(e.running)+len(e.waiting) >= e.shape.Capacity+e.shape.Queue {
-		e.emit(EffectRefuse, req, 0)
+		e.emit(EffectReject, req, 0)
 		return
 	}
 	e.waiting = append(e.waiting, req)
--- a/internal/tooling/workeremulator/engine_test.go
+++ b/internal/tooling/workeremulator/engine_test.go
@@ -157,6 +157,8 @@
 	}
 }
 
+// TestFullTooLargeAndLate checks that a request is rejected if the queue is full or the request can never
+// fit into memory, and that a running request expires at its deadline.
 func TestFullTooLargeAndLate(t *testing.T) {
 	var events []Event
 	for ticket := int64(1); ticket <= 7; ticket++ {
@@ -166,8 +168,8 @@
 	late := arrive(9, 10, 800)
 	late.Request.Deadline = milliseconds(300)
 	effects := drive(NewEngine(smallShape), map[clock.Instant][]Event{0: events, milliseconds(200): {large, late}}, milliseconds(400))
-	if len(effectsOf(effects, 7, EffectRefuse)) != 1 || len(effectsOf(effects, 6, EffectFinish)) != 1 || len(effectsOf(effects, 8, EffectRefuse)) != 1 || len(effectsOf(effects, 9, EffectExpire)) != 1 {
-		t.Fatalf("effects %v, want requests 7 (queue full) and 8 (too large) refused, 6 finished and 9 expired, once each", effects)
+	if len(effectsOf(effects, 7, EffectReject)) != 1 || len(effectsOf(effects, 6, EffectFinish)) != 1 || len(effectsOf(effects, 8, EffectReject)) != 1 || len(effectsOf(effects, 9, EffectExpire)) != 1 {
+		t.Fatalf("effects %v, want requests 7 (queue full) and 8 (too large) rejected, 6 finished and 9 expired, once each", effects)
 	}
 }
 
@@ -189,7 +191,7 @@
 					last[effect.Ticket] = effect.Number
 				case EffectBegin:
 					started[effect.Ticket] = true
-				case EffectFinish, EffectRefuse, EffectExpire:
+				case EffectFinish, EffectReject, EffectExpire:
 					ends[effect.Ticket]++
 				}
 			}
--- a/internal/tooling/workeremulator/exchange.go
+++ b/internal/tooling/workeremulator/exchange.go
@@ -34,7 +34,7 @@
 		case <-e.request.Context().Done():
 			return
 		}
-		if e.faults.hang && effect.Kind != EffectRefuse {
+		if e.faults.hang && effect.Kind != EffectReject {
 			// Send nothing and keep the connection open until the other side closes it.
 			<-e.request.Context().Done()
 			return
@@ -62,7 +62,7 @@
 // faultEvent is the number of the event at which cut and skip take effect.
 func (e *exchange) apply(effect Effect, faultEvent int64, waiting *waiter) (complete bool) {
 	switch effect.Kind {
-	case EffectRefuse:
+	case EffectReject:
 		e.worker.rejectNotExecuted(e.writer, http.StatusServiceUnavailable, "full, or too late")
 		return true
 	case EffectExpire:
--- a/internal/tooling/workeremulator/heartbeats.go
+++ b/internal/tooling/workeremulator/heartbeats.go
@@ -24,6 +24,10 @@
 	Address     string
 	Controllers []string
 
+	// lock guards target, nextController and count. target is the address that a response has named for
+	// further calls; empty if none has, or if a call to it has failed since. nextController is the index
+	// of the controller that the next call starts with, modulo their number, and count the number of
+	// calls so far.
 	lock           sync.Mutex
 	target         string
 	nextController int
@@ -56,10 +60,10 @@
 	Count      int64         `json:"call-count"`
 }
 
-// Beat sends one heartbeat to the first address that acknowledges it. The target that an earlier
+// SendHeartbeat sends one heartbeat to the first address that acknowledges it. The target that an earlier
 // response named, if any, is called first, and is forgotten once a call to it fails. The
 // controllers follow, and each call starts with the next one of them.
-func (b *HeartbeatSender) Beat() error { return b.call("/-/Workers.Heartbeat/") }
+func (b *HeartbeatSender) SendHeartbeat() error { return b.call("/-/Workers.Heartbeat/") }
 
 // Depart reports that the worker has departed.
 func (b *HeartbeatSender) Depart() error { return b.call("/-/Workers.Depart/") }
@@ -135,8 +139,8 @@
 
 // SendUntil sends heartbeats until the context ends.
 func (b *HeartbeatSender) SendUntil(until contexts.Context, period clock.Duration) {
-	_ = b.Beat()
-	clock.Every(period, until.Done(), func() { _ = b.Beat() })
+	_ = b.SendHeartbeat()
+	clock.Every(period, until.Done(), func() { _ = b.SendHeartbeat() })
 }
 
 // DrainAndShutDown reports that the worker is draining. Once that is acknowledged, or after three
@@ -144,7 +148,7 @@
 // constants.EmulatorLeaveSlack, then departs and shuts down.
 func (b *HeartbeatSender) DrainAndShutDown(drain clock.Duration) {
 	b.Worker.Drain()
-	for attempts := 0; b.Beat() != nil && attempts < len(b.Controllers)+2; attempts++ {
+	for attempts := 0; b.SendHeartbeat() != nil && attempts < len(b.Controllers)+2; attempts++ {
 		clock.Sleep(constants.LabRetry)
 	}
 	clock.Sleep(drain + constants.EmulatorLeaveSlack)
--- a/internal/tooling/workeremulator/heartbeats_test.go
+++ b/internal/tooling/workeremulator/heartbeats_test.go
@@ -34,13 +34,13 @@
 	worker, _, address, _ := start(t, plainSettings)
 	sender := NewHeartbeatSender(worker, address, []string{first.Listener.Addr().String()})
 	for count := 0; count < 2; count++ {
-		if err := sender.Beat(); err != nil {
+		if err := sender.SendHeartbeat(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	other.Close()
 	worker.Drain()
-	if sender.Beat() != nil || sender.Depart() != nil {
+	if sender.SendHeartbeat() != nil || sender.Depart() != nil {
 		t.Fatal("heartbeat or departure failed although the first controller responds")
 	}
 	want := "[first/-/Workers.Heartbeat/w1 steady other/-/Workers.Heartbeat/w1 steady first/-/Workers.Heartbeat/w1 draining first/-/Workers.Depart/w1 draining]"
--- a/internal/tooling/workeremulator/step.go
+++ b/internal/tooling/workeremulator/step.go
@@ -132,7 +132,7 @@
 			if !req.started {
 				// Without a first token the request has not run and may be reported as not
 				// executed.
-				kind = EffectRefuse
+				kind = EffectReject
 			}
 			e.emit(kind, req, 0)
 			e.remove(req.request.Ticket)
--- a/internal/tooling/workeremulator/types.go
+++ b/internal/tooling/workeremulator/types.go
@@ -26,9 +26,11 @@
 	// may occur twice.
 	Ticket int64
 	Model  string
-	In     int64
-	Out    int64
-	Parts  []Part
+	// In and Out are the numbers of tokens of the prompt and of the output, Parts the named parts of
+	// the prompt, which can be cached.
+	In    int64
+	Out   int64
+	Parts []Part
 	// LastEvent is the number of the last event that the client already has; 0 if it has none.
 	LastEvent int64
 	// Work, if above 0, makes this a plain request without tokens that takes this long.
@@ -59,8 +61,8 @@
 
 // The kinds of effects.
 const (
-	// EffectRefuse means that the request was not executed and never will be.
-	EffectRefuse EffectKind = iota
+	// EffectReject means that the request was not executed and never will be.
+	EffectReject EffectKind = iota
 	// EffectBegin means that the request counts as running from now on.
 	EffectBegin
 	// EffectEvent means that one event of the request's stream is complete.
--- a/internal/tooling/workeremulator/worker.go
+++ b/internal/tooling/workeremulator/worker.go
@@ -33,9 +33,10 @@
 type Settings struct {
 	ID, Service, Zone string
 	// Model is empty for a worker of plain requests, each of which takes Work.
-	Model     string
-	Work      clock.Duration
-	Shape     Shape
+	Model string
+	Work  clock.Duration
+	Shape Shape
+	// ConnLimit is the maximum number of connections; 0 means no limit.
 	ConnLimit int
 	// Probe is the path of health checks; empty means that there is none.
 	Probe string
@@ -203,7 +204,7 @@
 		}
 		waiting.effects <- effect
 		switch effect.Kind {
-		case EffectFinish, EffectRefuse, EffectExpire:
+		case EffectFinish, EffectReject, EffectExpire:
 			delete(w.waiters, effect.Ticket)
 		}
 	}
--- a/internal/tooling/workeremulator/worker_test.go
+++ b/internal/tooling/workeremulator/worker_test.go
@@ -67,6 +67,8 @@
 	return resp, string(body), err
 }
 
+// TestStreamSealAndRecord checks that a resumed stream starts after the client's last event, has its
+// headers and seal, and is recorded as one run.
 func TestStreamSealAndRecord(t *testing.T) {
 	_, record, address, _ := start(t, engineSettings)
 	resp, body, err := post(address, "one", headerTokens, "20,12", headerPrefix, "a:10", headerModel, "m", headerTarget, "w1", headerLastEventID, "1")
@@ -83,6 +85,8 @@
 	}
 }
 
+// TestNotExecutedIsReported checks that a request that the worker rejects is marked as not executed and
+// is not recorded as a run.
 func TestNotExecutedIsReported(t *testing.T) {
 	worker, record, address, _ := start(t, plainSettings)
 	for name, header := range map[string][]string{
@@ -105,6 +109,8 @@
 	}
 }
 
+// TestHealthCheckAndLyingFault checks that the health check reports a worker that does not drain as
+// healthy, and that the fault inverts this.
 func TestHealthCheckAndLyingFault(t *testing.T) {
 	worker, _, address, _ := start(t, plainSettings)
 	get := func(path string) (int, string, http.Header) {
