--- a/cmd/lemonarch/lab_load.go
+++ b/cmd/lemonarch/lab_load.go
@@ -52,7 +52,7 @@
 	flags.StringVar(&l.mix, "mix", "query=6,review=1,confirm=2,status=3", "relative share of each kind of request")
 	flags.DurationVar(&l.options.For, "for", l.options.For, "how long to send load")
 	flags.IntVar(&l.options.Count, "count", 0, "maximum number of requests; 0 for no limit")
-	flags.IntVar(&l.options.Tries, "tries", l.options.Tries, "maximum number of attempts per request, the first one included")
+	flags.IntVar(&l.options.MaxAttempts, "tries", l.options.MaxAttempts, "maximum number of attempts per request, the first one included")
 	flags.Int64Var(&l.options.Seed, "seed", l.options.Seed, "seed of the load")
 }
 
--- a/internal/control/workerserver/calls.go
+++ b/internal/control/workerserver/calls.go
@@ -96,7 +96,7 @@
 	}
 	worker, changed := s.heartbeat(worker)
 	if changed {
-		s.node.Log.Info("worker registered or changed", "worker", worker.ID, "service", worker.Backend, "phase", worker.Phase.String(), "address", worker.Address)
+		s.node.Log.Info("worker registered", "worker", worker.ID, "service", worker.Backend, "phase", worker.Phase.String(), "address", worker.Address)
 	}
 	switch {
 	case worker.Phase == messages.PhaseSteady:
--- a/internal/tooling/loadgen/experiment.go
+++ b/internal/tooling/loadgen/experiment.go
@@ -19,7 +19,7 @@
 // their defaults. programs is the folder of the programs for fleets that name none.
 func ReadExperiment(text, programs string) (*Experiment, Options, error) {
 	defaults := NewOptions()
-	experiment := &Experiment{Rate: defaults.Rate, JobRate: defaults.JobRate, Items: defaults.Items, ForS: defaults.For.Seconds(), MaxAttempts: defaults.Tries, Seed: defaults.Seed}
+	experiment := &Experiment{Rate: defaults.Rate, JobRate: defaults.JobRate, Items: defaults.Items, ForS: defaults.For.Seconds(), MaxAttempts: defaults.MaxAttempts, Seed: defaults.Seed}
 	// The file is decoded twice: the first pass counts the fleets, so that each fleet can be given
 	// its defaults before the second.
 	var counted struct {
@@ -47,7 +47,7 @@
 		return nil, defaults, ErrInvalidLoad.New("experiment has unknown field " + extra[0].String())
 	}
 	options := defaults
-	options.Rate, options.JobRate, options.Items, options.Count, options.Tries, options.Seed = experiment.Rate, experiment.JobRate, experiment.Items, experiment.Count, experiment.MaxAttempts, experiment.Seed
+	options.Rate, options.JobRate, options.Items, options.Count, options.MaxAttempts, options.Seed = experiment.Rate, experiment.JobRate, experiment.Items, experiment.Count, experiment.MaxAttempts, experiment.Seed
 	options.PlannedOnly = experiment.PlannedOnly
 	options.For = clock.Milliseconds(experiment.ForS * 1000)
 	if experiment.Mix != "" {
--- a/internal/tooling/loadgen/options.go
+++ b/internal/tooling/loadgen/options.go
@@ -23,8 +23,8 @@
 	For clock.Duration
 	// Count is the largest number of requests; 0 means that only For limits it.
 	Count int
-	// Tries is the largest number of attempts of a request, the first included.
-	Tries int
+	// MaxAttempts is the largest number of attempts of a request, the first included.
+	MaxAttempts int
 	// Seed determines all random draws of the load.
 	Seed int64
 	// PlannedOnly is set if the fleet is only subject to planned work, not to faults. A request
@@ -38,7 +38,7 @@
 // NewOptions returns the default options.
 func NewOptions() Options {
 	mix, _ := ParseMix("query=6,review=1,confirm=2,status=3")
-	return Options{Rate: 40, JobRate: 0.3, Items: 10, Mix: mix, For: 15 * time.Second, Tries: 2, Seed: 1}
+	return Options{Rate: 40, JobRate: 0.3, Items: 10, Mix: mix, For: 15 * time.Second, MaxAttempts: 2, Seed: 1}
 }
 
 // Check returns an error about the first option that is out of range, or nil.
@@ -54,7 +54,7 @@
 		return ErrInvalidLoad.New(fmt.Sprintf("for must be above 0 and at most %s", constants.LoadTime))
 	case o.Count < 0 || o.Count > constants.LoadCount:
 		return ErrInvalidLoad.New(fmt.Sprintf("count must be between 0 and %d", constants.LoadCount))
-	case o.Tries < 1 || o.Tries > 5:
+	case o.MaxAttempts < 1 || o.MaxAttempts > 5:
 		return ErrInvalidLoad.New("tries must be between 1 and 5")
 	}
 	return nil
--- a/internal/tooling/loadgen/send.go
+++ b/internal/tooling/loadgen/send.go
@@ -44,7 +44,7 @@
 }
 
 // sendWithRetries sends a request until it is served, must not be retried, has been sent
-// Options.Tries times or has reached its deadline.
+// Options.MaxAttempts times or has reached its deadline.
 func (r *run) sendWithRetries(spec *requestSpec) {
 	now := clock.Now()
 	state := &requestState{started: now, deadline: now.Add(spec.route.Cutoff())}
@@ -59,7 +59,7 @@
 		}
 		wait := min(max(outcome.retryAfter, constants.LabRetry/4), state.deadline.Sub(clock.Now())/3)
 		mayRetry := !outcome.permanent && (repeatable(spec.route) || outcome.notExecuted || outcome.unread)
-		if !mayRetry || attempt >= r.options.Tries || wait <= 0 {
+		if !mayRetry || attempt >= r.options.MaxAttempts || wait <= 0 {
 			r.result.countFailed(spec, outcome.cause)
 			return
 		}
--- a/internal/tooling/soak/run.go
+++ b/internal/tooling/soak/run.go
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	options := loadgen.NewOptions()
-	options.Rate, options.JobRate, options.Items, options.Tries = schedule.Experiment.Rate, schedule.Experiment.JobRate, schedule.Experiment.Items, schedule.Experiment.MaxAttempts
+	options.Rate, options.JobRate, options.Items, options.MaxAttempts = schedule.Experiment.Rate, schedule.Experiment.JobRate, schedule.Experiment.Items, schedule.Experiment.MaxAttempts
 	options.For, options.Seed, options.PlannedOnly, options.Progress = schedule.Duration, schedule.Seed, schedule.PlannedOnly, progress
 	return loadgen.Drive(ctx, options, endpoint, schedule.Experiment.Trouble)
 }
