--- a/internal/control/broadcast/broadcast_test.go
+++ b/internal/control/broadcast/broadcast_test.go
@@ -135,8 +135,8 @@
 }
 
 // TestConfigurationsConverge checks that every process in contact applies each acknowledged
-// configuration within the bound, with the same faults and on a lossy network, and that no
-// process ever applies an older one.
+// configuration within the bound, with the faults of injectFault and on a lossy network, and that
+// no process ever applies an older one.
 func TestConfigurationsConverge(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 10; seed++ {
--- a/internal/control/broadcast/cost_test.go
+++ b/internal/control/broadcast/cost_test.go
@@ -78,16 +78,19 @@
 	logarithm := math.Log2(392) / math.Log2(24)
 	for _, role := range []string{membership.RoleGateway, membership.RoleStore} {
 		if large[role].messages > 1.1*small[role].messages || large[role].crossZoneBytes > 1.1*small[role].crossZoneBytes+1 {
-			t.Errorf("cost of a %s grew too much: from %+v to %+v", role, small[role], large[role])
+			t.Errorf("cost of a %s grew from %+v to %+v, want at most 1.1 times the messages and the bytes to other zones (plus 1)",
+				role, small[role], large[role])
 		}
 	}
 	// A report requests the ages of the peers in the bounded view. Only gateways are checked,
 	// because stores also know all stores.
 	if large[membership.RoleGateway].bytes > 1.5*logarithm*small[membership.RoleGateway].bytes {
-		t.Errorf("cost of a gateway grew too much: from %+v to %+v", small[membership.RoleGateway], large[membership.RoleGateway])
+		t.Errorf("cost of a gateway grew from %+v to %+v, want at most %.2f times the bytes",
+			small[membership.RoleGateway], large[membership.RoleGateway], 1.5*logarithm)
 	}
 	controller := large[membership.RoleController]
 	if reports := 392.0 / 8; controller.messages > 40+1.5*reports || controller.crossZoneBytes > 8*4*(300+392) {
-		t.Errorf("cost of a controller is above the bound: %+v", controller)
+		t.Errorf("cost of a controller is %+v, want at most %.1f messages and %d bytes to other zones",
+			controller, 40+1.5*reports, 8*4*(300+392))
 	}
 }
--- a/internal/control/broadcast/drive_test.go
+++ b/internal/control/broadcast/drive_test.go
@@ -9,7 +9,8 @@
 	"lemonarch/internal/platform/transport"
 )
 
-// makeCalls makes the calls of a tree, and calls its Tick periodically until it is done.
+// makeCalls makes the calls of a tree, and calls its Tick periodically until it is done or
+// constants.BulkCallTimeout has passed.
 func (n *node) makeCalls(update *messages.RelayRequest, tree *broadcast.Tree, sends []broadcast.Send, start clock.Instant) {
 	for _, send := range sends {
 		n.makeCall(update, tree, send, start)
--- a/internal/control/broadcast/fleet_test.go
+++ b/internal/control/broadcast/fleet_test.go
@@ -71,7 +71,8 @@
 func (n *node) start(seed int64) {
 	n.view, n.registry = membership.NewView(n.own, seed), workers.New(heartbeatPeriod)
 	n.peerStates, n.relays = map[string]*peerState{}, map[string]*broadcast.Tree{}
-	// The seeds are the first controllers of three zones.
+	// The seeds are the first controllers of three zones. The empty entry is in the place of the
+	// sender's, so that no seed counts as in direct contact yet.
 	for zone := 0; zone < 3; zone++ {
 		name := fmt.Sprintf("%d-000", zone)
 		n.view.Observe([]messages.NodeInfo{{}, {Name: name, Incarnation: 1, Role: membership.RoleController, Zone: fmt.Sprint("h", zone), Address: "foreman/" + name}}, n.fleet.Now)
--- a/internal/control/broadcast/partition_test.go
+++ b/internal/control/broadcast/partition_test.go
@@ -90,7 +90,7 @@
 	controller.submitConfig(generation, func() {
 		c.acks++
 		if controller == c.target && c.startedAt > 0 && c.fleet.Now.Sub(c.startedAt) > constants.ContactLease+constants.PushTimeout {
-			c.test.Errorf("%s: the partitioned controller confirmed generation %d", c.name, generation)
+			c.test.Errorf("%s: the partitioned controller confirmed generation %d after its lease had expired", c.name, generation)
 		}
 		c.fleet.After(convergeBound, func() {
 			for _, process := range c.fleet.nodes {
@@ -153,7 +153,8 @@
 	}
 }
 
-// checkNoReports checks that no process still reports to a controller that has lost contact.
+// checkNoReports checks that no process still reports to the partitioned controller once its lease
+// has expired and the reports after that have been rejected or have timed out.
 func (c *partitionRun) checkNoReports() {
 	bound := constants.ContactLease + constants.ShufflePeriod + 2*constants.ReportTimeout
 	if c.startedAt == 0 || c.fleet.Now.Sub(c.startedAt) < bound {
@@ -207,12 +208,12 @@
 	}
 }
 
-// TestOneControllerPartitioned partitions each controller in turn (in both directions, in one
-// direction, from every process, or paused) for 1 to 60 s, with 3, 5 or 8 controllers. Every
-// process in contact must know what was acknowledged meanwhile within its bound, no live
-// process may be considered silent, no process may go on reporting to the partitioned
-// controller, and that controller must not confirm anything.
-func TestOneControllerPartitioned(t *testing.T) {
+// TestAcknowledgedIsKnownWhileOneControllerIsPartitioned partitions each controller in turn (in both
+// directions, in one direction, from every process, or paused) for 1 to 60 s, with 3, 5 or 8
+// controllers. Every other process must know what was acknowledged meanwhile within its bound, no
+// live process may be considered silent, no process may go on reporting to the partitioned
+// controller, and that controller must not confirm a configuration after its lease has expired.
+func TestAcknowledgedIsKnownWhileOneControllerIsPartitioned(t *testing.T) {
 	t.Parallel()
 	sizes := []struct{ zones, controllers int }{{3, 1}, {5, 1}, {4, 2}}
 	for seed := 1; seed <= seeds(1); seed++ {
--- a/internal/control/controller/budget_test.go
+++ b/internal/control/controller/budget_test.go
@@ -157,11 +157,13 @@
 	controllers[4].Node.Settings.FaultBudget.Machines = 1
 	value, err := controller.Register.Read()
 	if err != nil || controller.sets.ToleratesBudget(&value) {
-		t.Fatal("the set tolerates the budget with a seed that has no disk: ", err)
+		t.Fatalf("read of the register: error %v; acceptors %v, want them not to tolerate the budget, as one has no disk",
+			err, members(controller))
 	}
 	reconcileSet(controllers[4])
 	if value, err = controller.Register.Read(); err != nil || !controller.sets.ToleratesBudget(&value) {
-		t.Fatal("the set doesn't tolerate the budget with three disks: ", err, members(controller))
+		t.Fatalf("read of the register: error %v; acceptors %v, want them to tolerate the budget with three disks",
+			err, members(controller))
 	}
 }
 
@@ -173,7 +175,8 @@
 	setLongRunning(controller)
 	value, err := controller.Register.Read()
 	if err != nil || controller.sets.ToleratesBudget(&value) {
-		t.Fatal("a set of three suffices while a fourth machine responds: ", err)
+		t.Fatalf("read of the register: error %v; acceptors %v, want them not to suffice while a fourth machine responds",
+			err, members(controller))
 	}
 	network.SetPartitioned(controllers[4].Node.Self.Address, true)
 	if !controller.sets.ToleratesBudget(&value) {
--- a/internal/control/controller/calls_test.go
+++ b/internal/control/controller/calls_test.go
@@ -155,7 +155,7 @@
 
 // A worker's valid calls are acknowledged and its invalid ones rejected, and no call moves the worker
 // back to an earlier phase. Otherwise a late heartbeat would end a drain.
-func TestWorkersCalls(t *testing.T) {
+func TestWorkersCallsNeverRevertAPhase(t *testing.T) {
 	folder := t.TempDir()
 	controller, server := open(t, folder, true)
 	heartbeat := `{"backend":"s","address":"a:1","zone":"h","generation":"v1","capacity":4,"phase":"%s","call-count":%d}`
--- a/internal/control/controller/plans_test.go
+++ b/internal/control/controller/plans_test.go
@@ -47,9 +47,10 @@
 	return []byte(changed), body.Bytes()
 }
 
-// TestApplyOverARealDisk checks that the rules of PROTOCOL for changes of the configuration also apply to
-// assignments, and that their register shares no state with that of the configuration.
-func TestApplyOverARealDisk(t *testing.T) {
+// TestPlansAreAppliedByTheRulesOfConfigurations checks, with a real disk, that the rules of PROTOCOL for
+// changes of the configuration also apply to assignments, and that their register shares no state with
+// that of the configuration.
+func TestPlansAreAppliedByTheRulesOfConfigurations(t *testing.T) {
 	folder := t.TempDir()
 	controller, server := open(t, folder, true)
 	if status, _ := clearCall(t, server, "POST", "/-/Configuration.Replace", "0", config(2)); status != 200 {
--- a/internal/control/lease/stall_test.go
+++ b/internal/control/lease/stall_test.go
@@ -15,7 +15,7 @@
 // A holder that is suspended at any step of a renewal, or between checking its lease and the action
 // that depends on it, must never act while another candidate may have the lease. A stall at every
 // step of a renewal must not cost it the lease.
-func TestStallAtEachStepOfARenewal(t *testing.T) {
+func TestStalledHolderKeepsItsLeaseAndNeverActsWithoutIt(t *testing.T) {
 	const steps = 5
 	for stalls := range 1 << steps {
 		stallAt := func(step int) clock.Instant {
@@ -45,7 +45,7 @@
 			if lease.Valid(checkedAt) && grantor.available(now) {
 				t.Fatalf("stalls %05b: the holder acts while another candidate may be granted the lease", stalls)
 			}
-			now += stallAt(4)
+			now += stallAt(4) // after the action
 			now = max(now, sentAt.Add(constants.LeaseRenewPeriod))
 		}
 	}
--- a/internal/control/membership/partition_test.go
+++ b/internal/control/membership/partition_test.go
@@ -87,10 +87,11 @@
 	}
 }
 
-// TestViewsUnderPartitions partitions processes on a lossy network into two halves and reconnects them.
-// Each half must consider the other silent, keep it in its view, and contact it again
-// afterwards. A process that was restarted meanwhile must be known by its new incarnation only.
-func TestViewsUnderPartitions(t *testing.T) {
+// TestViewsConvergeAfterAPartition partitions processes on a lossy network into two halves and
+// reconnects them. Each half must consider the other silent but keep it in its view. Afterwards all
+// processes must know all others, and a process of the first half must know one of the second half
+// that was restarted meanwhile by its new incarnation only.
+func TestViewsConvergeAfterAPartition(t *testing.T) {
 	for seed := int64(1); seed <= 30; seed++ {
 		s := newShufflers(t, seed)
 		s.run(15)
--- a/internal/control/membership/reports_test.go
+++ b/internal/control/membership/reports_test.go
@@ -21,7 +21,7 @@
 }
 
 // TestControllerReportOrder checks that a process reports to the controllers of its own zone first,
-// and last to those that recently failed to respond, are draining, or are known to be silent.
+// and last to those that recently failed to respond or are known to be silent.
 func TestControllerReportOrder(t *testing.T) {
 	own := entry("own", 1)
 	own.Zone = "a"
@@ -78,7 +78,8 @@
 	}
 	for _, entry := range view.All(RoleGateway, now) {
 		if live := entry.AgeMs < constants.SuspectAfter.Milliseconds(); live == (entry.Name == silent) {
-			t.Fatalf("%s: wrong liveness: last contact %d ms ago", entry.Name, entry.AgeMs)
+			t.Fatalf("%s: last contact %d ms ago, want below %d ms for all but the silent %s",
+				entry.Name, entry.AgeMs, constants.SuspectAfter.Milliseconds(), silent)
 		}
 	}
 	// Without contact to a controller, processes that were live stay live.
--- a/internal/control/register/archive_test.go
+++ b/internal/control/register/archive_test.go
@@ -171,7 +171,7 @@
 
 // The size of a value without its body is bounded by a constant, and that of a whole archive by the
 // number of changes.
-func TestArchiveCost(t *testing.T) {
+func TestValueSizeIsBoundedAndArchiveSizeIsLinear(t *testing.T) {
 	for _, changes := range []int{40, 300, 2300, 6900} {
 		archives := newArchives(2)
 		for index := range changes {
--- a/internal/control/register/budget_test.go
+++ b/internal/control/register/budget_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// The set grows from the three seeds to five members before anything is acknowledged, and whatever
-// was acknowledged survives the loss of two members at any later moment.
+// The set grows from the three seeds to five members before anything is acknowledged. Each
+// acknowledged version survives a fault of two machines that occurs right after its acknowledgement.
 func TestAcknowledgedSurvivesTwoLosses(t *testing.T) {
 	for seed := int64(1); seed <= int64(simulation.Seeds(120)); seed++ {
 		fleet := newGrowingFleet(t, seed)
@@ -100,7 +100,8 @@
 	}
 }
 
-// The set reaches its full size, and never exceeds it, well before traffic starts.
+// The set reaches its full size within 8 s, a small part of the time before traffic starts, and has
+// not exceeded it 10 s later.
 func TestSetGrowsToFullSizeInTime(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
 		fleet := newGrowingFleet(t, seed)
--- a/internal/control/register/faults_test.go
+++ b/internal/control/register/faults_test.go
@@ -12,14 +12,14 @@
 // Two operators at a time send changes on the same base while messages are lost and duplicated and
 // processes are isolated or restarted. At most one change on each base may be acknowledged, and no
 // acknowledged version may be lost.
-func TestRegisterUnderFaults(t *testing.T) {
+func TestAcknowledgedVersionsRemainUnderFaults(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	for seed := int64(1); seed <= 150; seed++ {
 		fleet := newFleet(t, seed, names...)
 		fleet.world.LossProbability, fleet.world.DuplicateProbability = 0.05, 0.05
 		generation, base := int64(0), int64(0)
 		for round := 0; round < 12; round++ {
-			// Two operators base a change on the same version at different nodes.
+			// Two operators base a change on the same version, each at a random node.
 			for operator := 0; operator < 2; operator++ {
 				generation += 1 + int64(fleet.world.Random.Intn(3))
 				from := names[fleet.world.Random.Intn(3)]
@@ -107,7 +107,7 @@
 
 // A version that is sent again, as after an unknown outcome, is acknowledged although another
 // version has followed it, never rejected. A new version on the old base is a conflict.
-func TestLostAcknowledgementThenResend(t *testing.T) {
+func TestResentVersionIsNeverRejected(t *testing.T) {
 	fleet := newFleet(t, 11, "a", "b", "c")
 	fleet.replace("a", 2, 0, "two")
 	fleet.world.Run(clock.Instant(1_000_000_000))
@@ -187,9 +187,9 @@
 	}
 }
 
-// Members join and replace each other while links are partitioned in one direction or both and
-// disks are slow. Acknowledged versions must remain.
-func TestSetChangesUnderPartitionsAndSlowDisks(t *testing.T) {
+// Processes that are not members join the set in place of a member, while in each round one direction
+// of one link is partitioned and disks are slow. Acknowledged versions must remain.
+func TestAcknowledgedVersionsRemainThroughSetChanges(t *testing.T) {
 	joins := 0
 	for seed := int64(1); seed <= 80; seed++ {
 		fleet := newFleet(t, seed, "a", "b", "c")
--- a/internal/control/register/operators_test.go
+++ b/internal/control/register/operators_test.go
@@ -180,7 +180,8 @@
 	step(requests)
 }
 
-// injectFaults isolates, restarts and partitions processes, one at a time.
+// injectFaults isolates or restarts one process, partitions one direction of one link, or does
+// nothing, and repeats this up to 2.5 s later. Faults may overlap: they last up to 900 ms.
 func (o *operators) injectFaults() {
 	name := o.names[o.world.Random.Intn(len(o.names))]
 	switch o.world.Random.Intn(4) {
--- a/internal/control/register/register_test.go
+++ b/internal/control/register/register_test.go
@@ -28,12 +28,15 @@
 	syncing clock.Instant
 }
 
+// fleet is a set of simulated processes in one network, with the changes that were acknowledged.
 type fleet struct {
 	world       *simulation.World
 	controllers map[string]*controller
-	acked       map[int64]string
-	onBase      map[int64]int64
-	test        *testing.T
+	// acked contains the body of each acknowledged version by generation, and onBase the generation
+	// that was acknowledged on each base.
+	acked  map[int64]string
+	onBase map[int64]int64
+	test   *testing.T
 	// maxSyncMs is the maximum time in ms that a sync takes; 0 disables the delay.
 	maxSyncMs float64
 	// crashProbability is the probability that a proposer crashes between its two rounds.
@@ -121,7 +124,8 @@
 	})
 }
 
-// newest reads the register and checks that no acknowledged version is lost.
+// newest reads the register, checks that no acknowledged version is lost, and returns the newest
+// generation, or -1 if the read did not succeed.
 func (f *fleet) newest(from string) int64 {
 	var found int64 = -1
 	f.change(from, register.ReadOnly, 12, func(value messages.RegisterValue, done bool) {
@@ -134,7 +138,7 @@
 				f.test.Fatalf("acknowledged version %d (%s) is lost, newest is %d", generation, label, found)
 			}
 			if generation == found && string(value.Body) != label {
-				f.test.Fatalf("version %d has a different body", generation)
+				f.test.Fatalf("version %d has body %q, want %q as acknowledged", generation, string(value.Body), label)
 			}
 		}
 	})
--- a/internal/control/register/repair_test.go
+++ b/internal/control/register/repair_test.go
@@ -10,8 +10,8 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// repairFleet is a fleet that loses one machine permanently and a second one during the repair, at
-// the moment at which a change of the set is chosen.
+// repairFleet is a fleet that loses one machine permanently and a second one for a while during the
+// repair, at the moment at which a change of the set is chosen.
 type repairFleet struct {
 	*growingFleet
 	// lossPending is set while the second loss is still to come. It occurs when a set with an epoch
@@ -80,10 +80,10 @@
 	return newest
 }
 
-// A second member is lost at each step of the repair after the first loss, right after the step was
-// chosen, with or without its disk. Acknowledged versions must remain, and the set must become
-// complete again.
-func TestSecondLossAtEachStepOfARepair(t *testing.T) {
+// During the repair after the loss of a member, a second one stops right after a random step of the
+// repair was chosen. It restarts 0.3 to 1.8 s later, with its disk or with an empty one. Acknowledged
+// versions must remain, and the set must become complete again.
+func TestAcknowledgedSurvivesASecondLossDuringRepair(t *testing.T) {
 	totalLosses := 0
 	for seed := int64(1); seed <= int64(simulation.Seeds(80)); seed++ {
 		f := &repairFleet{growingFleet: newGrowingFleet(t, seed)}
@@ -91,7 +91,7 @@
 		f.maxSyncMs = float64(seed%3) * 15
 		f.onChosen = f.handleChosen
 		if !f.runUntil(clock.Milliseconds(20_000), f.complete) {
-			t.Fatalf("seed %d: set not complete at the start", seed)
+			t.Fatalf("seed %d: set not complete within 20 s of the start", seed)
 		}
 		for generation := int64(1); generation <= 5; generation++ {
 			f.replaceUntilAcknowledged(generation, generation-1)
--- a/internal/control/registerserver/catchup_test.go
+++ b/internal/control/registerserver/catchup_test.go
@@ -212,7 +212,8 @@
 }
 
 // A member that missed changes catches up by receiving one value, regardless of the number of
-// changes, and 8 bytes of archive per version.
+// changes, and the archive, in which a version takes 8 bytes plus its share of the chunk's header.
+// The bound is 12 bytes per version, and 8,000 in all for the rest.
 func TestCatchUpTransfersStateNotHistory(t *testing.T) {
 	few, many := catchUp(t, 300), catchUp(t, 2300)
 	archive := int64(2000 * 12)
--- a/internal/control/registerserver/crash_test.go
+++ b/internal/control/registerserver/crash_test.go
@@ -74,8 +74,8 @@
 	return resp.Value.Current
 }
 
-// failAfter has the disk fail the operation after the given number of operations; after a power
-// loss all later operations fail too.
+// failAfter has the disk fail the operation after the given number of operations, and with powerLoss
+// all later operations too.
 func (a *singleAcceptor) failAfter(remaining *int, powerLoss bool) {
 	a.disk.Intercept = func(simulation.Operation, string) error {
 		if *remaining--; *remaining < 0 && (powerLoss || *remaining == -1) {
@@ -116,7 +116,7 @@
 // Any disk operation of an acceptor may fail, or power may fail at it, during appends and rewrites
 // of both files. What was acknowledged or returned by a query must remain after each start, and
 // each committed version must still be known.
-func TestDiskFailsAtAnyOperation(t *testing.T) {
+func TestCommittedVersionsSurviveDiskFailures(t *testing.T) {
 	for seed := 1; seed <= simulation.Seeds(6); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { failDiskOfSeed(t, int64(seed)) })
 	}
