--- a/internal/batch/dispatch/dispatcher_test.go
+++ b/internal/batch/dispatch/dispatcher_test.go
@@ -185,15 +185,15 @@
 		dispatcher.acknowledge("x", messages.AckRelease, first, "a", ms(10), failed)
 	}
 	if item := dispatcher.Jobs.Job("l").Item("a"); item.State != ItemAvailable || len(item.FailedBy) != 1 {
-		t.Fatal("one 500 response was counted this many times: ", len(item.FailedBy))
+		t.Fatalf("one 500 response: %d failures, state %d; want 1 and available", len(item.FailedBy), item.State)
 	}
 	next := newTestDispatcher(t, 2, dispatcher.records, ms(1000))
 	if item := next.Jobs.Job("l").Item("a"); len(item.FailedBy) != 1 {
-		t.Fatal("failure count was lost in the takeover")
+		t.Fatalf("%d failures counted after a takeover, want 1", len(item.FailedBy))
 	}
 	next.acknowledge("x", messages.AckRelease, first, "a", ms(1001), failed)
 	if item := next.Jobs.Job("l").Item("a"); len(item.FailedBy) != 1 || item.State != ItemAvailable {
-		t.Fatal("after a takeover, one 500 response was counted this many times: ", len(item.FailedBy))
+		t.Fatalf("repeated 500 response: %d failures, state %d; want 1 and available", len(item.FailedBy), item.State)
 	}
 	second := next.acquire("y", 1, ms(4000))[0].Number
 	if next.acknowledge("y", messages.AckRelease, second, "a", ms(4001), failed) != messages.AckRecorded {
@@ -230,7 +230,7 @@
 		t.Fatal("acquisition adopted after its lock had expired")
 	}
 	if remaining := next.acquire("y", 3, ms(2200)); len(remaining) != 1 || remaining[0].Item.ID != "c" || remaining[0].Number <= acquired[2].Number {
-		t.Fatal("want only item c with a higher number, got ", remaining)
+		t.Fatalf("acquired items %q, want only c under a number above %d", itemIDs(remaining), acquired[2].Number)
 	}
 }
 
--- a/internal/batch/executor/runner_test.go
+++ b/internal/batch/executor/runner_test.go
@@ -8,13 +8,13 @@
 	"lemonarch/internal/platform/messages"
 )
 
-const lock = 2 * clock.Duration(1_000_000_000)
+const lockDuration = 2 * clock.Duration(1_000_000_000)
 
 func ms(count float64) clock.Instant { return clock.Instant(clock.Milliseconds(count)) }
 
 // acquired returns an acquire response with one item for each acquisition number.
 func acquired(numbers ...uint64) *messages.AcquireResponse {
-	resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(lock), WaitedMs: 500}
+	resp := &messages.AcquireResponse{LockMs: clock.ToMilliseconds(lockDuration), WaitedMs: 500}
 	for _, number := range numbers {
 		resp.Items = append(resp.Items, messages.AcquiredItem{Number: number, Job: "l", Item: messages.JobItem{ID: "i"}})
 	}
@@ -22,7 +22,8 @@
 }
 
 // However late a response arrives, the lock ends here before it expires at the dispatcher. Otherwise two
-// executors could run an item at the same time.
+// executors could run an item at the same time. The lock counts from the request plus the time that the
+// dispatcher waited before it responded.
 func TestLockCountsFromTheRequest(t *testing.T) {
 	runner := New()
 	if tasks := runner.Add(acquired(1), ms(0), ms(2500)); len(tasks) != 0 {
@@ -31,7 +32,7 @@
 	task := runner.Add(acquired(2), ms(0), ms(2000))[0]
 	end := ms(2500).Add(-constants.LockMargin)
 	if !task.MayRun(end-1) || task.MayRun(end) || len(runner.StopExpired(end-1)) != 0 {
-		t.Fatal("lock does not end at the request plus its duration less the margin")
+		t.Fatalf("lock does not end at %d ns: request, dispatcher's wait and lock duration, less the margin", end)
 	}
 	if stopped := runner.StopExpired(end); len(stopped) != 1 || len(runner.StopExpired(end)) != 0 || len(runner.Renewals(end)) != 0 {
 		t.Fatal("run with an expired lock was not stopped exactly once, or was renewed")
@@ -44,14 +45,14 @@
 	runner := New()
 	task := runner.Add(acquired(1), ms(0), ms(500))[0]
 	entries := runner.Renewals(ms(1000))
-	runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckRenewed}, ms(1000), lock)
+	runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckRenewed}, ms(1000), lockDuration)
 	if !task.MayRun(ms(2800)) || task.MayRun(ms(3000)) {
 		t.Fatal("renewed lock does not count from the renewal request")
 	}
-	if stopped := runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckUnknown}, ms(1500), lock); len(stopped) != 0 || task.MayRun(ms(3000)) {
+	if stopped := runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckUnknown}, ms(1500), lockDuration); len(stopped) != 0 || task.MayRun(ms(3000)) {
 		t.Fatal("verdict AckUnknown renewed or stopped the task")
 	}
-	if stopped := runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckStopped}, ms(1500), lock); len(stopped) != 1 || !task.Stopped() {
+	if stopped := runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckStopped}, ms(1500), lockDuration); len(stopped) != 1 || !task.Stopped() {
 		t.Fatal("verdict AckStopped did not stop the task")
 	}
 }
@@ -91,7 +92,7 @@
 	}
 }
 
-func TestStopJob(t *testing.T) {
+func TestStopJobStopsEachRunOnce(t *testing.T) {
 	runner := New()
 	runner.Add(acquired(1, 2), ms(0), ms(500))
 	if len(runner.StopJob("other")) != 0 || len(runner.StopJob("l")) != 2 || len(runner.StopJob("l")) != 0 {
@@ -135,9 +136,10 @@
 		}
 		hanging := clock.Milliseconds(at-10_000) >= constants.RenewWithoutEventsMax
 		if (len(entries) == 0) != hanging {
-			t.Fatal("want renewals only while the run delivers events, ms: ", at)
+			t.Fatalf("got %d renewals at %v ms, want none once the last event is RenewWithoutEventsMax ago, else 1",
+				len(entries), at)
 		}
-		runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckRenewed}, ms(at), lock)
+		runner.HandleRenewals(entries, []messages.AckVerdict{messages.AckRenewed}, ms(at), lockDuration)
 	}
 	if !task.MayRun(ms(16_000)) || len(runner.StopExpired(ms(17_000))) != 1 {
 		t.Fatal("hanging run was stopped too early or not at all")
--- a/internal/batch/executorserver/place_test.go
+++ b/internal/batch/executorserver/place_test.go
@@ -15,7 +15,8 @@
 		first := owner(worker, zone, stores)
 		counts[first]++
 		if stores[first] != zone && zone != "c" {
-			t.Fatal("worker has an owner in another zone: ", worker, first)
+			t.Fatalf("worker %s of zone %s is owned by %s in zone %s, want a store in its zone",
+				worker, zone, first, stores[first])
 		}
 		remaining := map[string]string{}
 		for name, storeZone := range stores {
@@ -24,15 +25,16 @@
 			}
 		}
 		if second := owner(worker, zone, remaining); first != "l3" && second != first {
-			t.Fatal("owner changed although it did not leave: ", worker)
+			t.Fatalf("worker %s is owned by %s after l3 left, want %s as before", worker, second, first)
 		}
 	}
 	for name, count := range counts {
 		if count < 60 {
-			t.Fatal("store owns fewer than 60 workers: ", name, counts)
+			t.Fatalf("store %s owns %d of 600 workers, want at least 60", name, count)
 		}
 	}
 	if len(counts) != len(stores) || owner("w", "h", map[string]string{"me": "x"}) != "me" {
-		t.Fatal("a store owns no worker, or a single store does not own its worker: ", counts)
+		t.Fatalf("workers per store are %v; want %d stores with workers, and a single store as owner in any zone",
+			counts, len(stores))
 	}
 }
--- a/internal/batch/jobclient/jobclient_test.go
+++ b/internal/batch/jobclient/jobclient_test.go
@@ -25,7 +25,7 @@
 func (s *script) RoundTrip(request *http.Request) (*http.Response, error) {
 	body, _ := io.ReadAll(request.Body)
 	if s.calls >= len(s.steps) {
-		s.test.Fatal("call after the last step of the script", request.Method, request.URL)
+		s.test.Fatalf("%s %s was called after the last step of the script", request.Method, request.URL)
 	}
 	step := s.steps[s.calls]
 	s.calls++
--- a/internal/batch/leader/addmember_test.go
+++ b/internal/batch/leader/addmember_test.go
@@ -31,7 +31,7 @@
 }
 
 // Joiners that copy at the same time must use different sources. No joiner may copy from the leader
-// or from a member that is far behind.
+// or from a member that has not confirmed any record.
 func TestConcurrentJoinersUseDifferentSources(t *testing.T) {
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(12)), 1)
 	term.lock.Lock()
@@ -60,7 +60,7 @@
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(12)), 1)
 	network := transport.NewMemoryNetwork()
 	term.process.Node.Transport = network.Transport("m")
-	store, err := replicalog.Open(simulation.NewDisk(13), "quick")
+	log, err := replicalog.Open(simulation.NewDisk(13), "quick")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 		if kind != messages.KindAppend || transport.Decode(body, req) != nil {
 			return transport.Encode(&messages.StatusResponse{})
 		}
-		resp, cause := store.Append(req)
+		resp, cause := log.Append(req)
 		if cause != nil {
 			return nil, cause
 		}
--- a/internal/batch/leader/copy_test.go
+++ b/internal/batch/leader/copy_test.go
@@ -37,9 +37,10 @@
 	}
 }
 
-// If copying from a member is interrupted, the records copied so far must be kept, and the leader
-// continues after them.
-func TestCopyContinuesFromTheLeader(t *testing.T) {
+// The leader sends the records after those that were copied, so CopyTo must return the index up to which
+// the joiner has them, and 0 without a source. The joiner grants one copy request; the only durable
+// record is copied by then.
+func TestCopyToReturnsLastCopiedIndex(t *testing.T) {
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(12)), 1)
 	if done := term.CopyTo(messages.Member{Name: "n", Address: "nowhere", Disk: "n"}, 0, NewCopyDeadline()); done != 0 {
 		t.Fatalf("copied up to index %d without a source, want 0", done)
@@ -66,6 +67,6 @@
 	durable := term.records.replicator.CommitIndex()
 	term.lock.Unlock()
 	if done := term.CopyTo(messages.Member{Name: "n", Address: "n", Disk: "n"}, 0, NewCopyDeadline()); done != min(1, durable) {
-		t.Fatalf("copied up to index %d of %d, want only the first record before the interruption", done, durable)
+		t.Fatalf("copied up to index %d of %d durable records, want %d", done, durable, min(1, durable))
 	}
 }
--- a/internal/batch/leader/diskspace_test.go
+++ b/internal/batch/leader/diskspace_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// The size of the log must be available without waiting for its lock, including after reopening it.
+// Bytes does not wait for the log's lock. It must include appended records, and be the same after
+// reopening the log.
 func TestLogSize(t *testing.T) {
 	disk := simulation.NewDisk(42)
 	log, err := replicalog.Open(disk, "d")
--- a/internal/batch/leader/intake_test.go
+++ b/internal/batch/leader/intake_test.go
@@ -66,7 +66,8 @@
 }
 
 // The leader must request an unknown job, respond with 202 to the offer of a job that it has, and
-// reject an offer that times out or does not fit. A rejected job must free its capacity.
+// reject an offer that waits too long for capacity and a job above the backlog cap. A job must free its
+// capacity when it becomes durable or is rejected.
 func TestOfferResponses(t *testing.T) {
 	term := startServingTerm(t, soleStore(t, simulation.NewDisk(31)), 1)
 	offerOf := func(id string, bytes int) int {
--- a/internal/batch/leader/jobjson_test.go
+++ b/internal/batch/leader/jobjson_test.go
@@ -10,7 +10,8 @@
 	"lemonarch/internal/platform/messages"
 )
 
-// largeJob returns a job of the size that clients send: 48 KB with 30 items.
+// largeJob returns a job with a number of items. With 30 items it has about the size of those that clients
+// send, 48 KB.
 func largeJob(items int) *messages.JobCallRequest {
 	var text strings.Builder
 	text.WriteString(`{"requests":[`)
--- a/internal/batch/leader/latency_test.go
+++ b/internal/batch/leader/latency_test.go
@@ -13,7 +13,7 @@
 
 // A leader resigns if its own disk is far slower than those of the others. Usual variation, a single slow
 // append, or a load that slows down all disks must not make it resign.
-func TestAppendLatencyOfASlowDisk(t *testing.T) {
+func TestDiskIsSlowOnlyComparedWithOthers(t *testing.T) {
 	latencies := newAppendLatency()
 	for round := 0; round < 20; round++ {
 		latencies.observe("own", 5)
--- a/internal/batch/leader/setpolicy_test.go
+++ b/internal/batch/leader/setpolicy_test.go
@@ -11,8 +11,8 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// The change that prevents the most likely loss of records must come first, and a change that is not
-// possible must not delay the others.
+// The change that prevents the most likely loss of records must come first, and a kind of change that
+// does not apply must not delay the others. Without a spare store there is no change.
 func TestNextChangeOrder(t *testing.T) {
 	process := soleStore(t, simulation.NewDisk(3))
 	process.Node.StartedAt = clock.Now().Add(-constants.ReplaceAfter * 2)
--- a/internal/batch/leader/submit_test.go
+++ b/internal/batch/leader/submit_test.go
@@ -45,7 +45,7 @@
 
 // The leader changes just after a job was ended. Once the end was acknowledged, no later leader may run
 // an item of the job, and its listed outputs must stay.
-func TestCancelDuringTakeover(t *testing.T) {
+func TestEndedJobStaysEndedAfterTakeover(t *testing.T) {
 	disk := simulation.NewDisk(2)
 	term := startServingTerm(t, soleStore(t, disk), 1)
 	if resp := term.submitJob(jobCallOf("lot", 3)); resp.Status != 202 {
--- a/internal/batch/leadership/slowness_test.go
+++ b/internal/batch/leadership/slowness_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// A slow leader must resign once, yield for constants.YieldTime, and then campaign again
-// although it is still slow.
-func TestSlowMachineResignsOnce(t *testing.T) {
+// A slow leader must resign at most once per constants.ResignBackoff, yield for
+// constants.YieldTime, and then campaign again although it is still slow.
+func TestSlowMachineResignsOncePerBackoff(t *testing.T) {
 	c := newCampaign()
 	now := clock.Instant(1_000_000_000)
 	if c.ShouldResign(false, now) || c.yieldsForSlowness(now) {
--- a/internal/batch/replicalog/replay_test.go
+++ b/internal/batch/replicalog/replay_test.go
@@ -47,7 +47,7 @@
 
 // Records that were written but whose sync failed are sent again, so the file contains them twice.
 // A process that reads the file must not treat the second copy as further records.
-func TestFailedSyncLeavesNoRecordTwice(t *testing.T) {
+func TestFailedSyncDuplicatesNoRecord(t *testing.T) {
 	disk, failSync := newFailingDisk(1)
 	log, err := Open(disk, "d")
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // A tail from an earlier leader is not committed, even if the commit index of the current leader is
-// higher: the leader's records at these indexes differ, and those of the tail must not be applied.
+// higher: the leader's records at these indexes may differ, so those of the tail must not be applied.
 func TestStaleTailIsNotCommitted(t *testing.T) {
 	log, err := Open(simulation.NewDisk(1), "d")
 	if err != nil {
--- a/internal/batch/store/budget_test.go
+++ b/internal/batch/store/budget_test.go
@@ -34,7 +34,7 @@
 	order := s.world.Random.Perm(len(s.set))
 	if s.world.Random.Intn(2) == 0 {
 		lastIndex := func(i int) int64 {
-			return s.stores[s.set[i].Address].store.Extent().Last
+			return s.stores[s.set[i].Address].log.Extent().Last
 		}
 		sort.SliceStable(order, func(left, right int) bool { return lastIndex(order[left]) > lastIndex(order[right]) })
 	}
--- a/internal/batch/store/copy_test.go
+++ b/internal/batch/store/copy_test.go
@@ -66,7 +66,8 @@
 			}
 		}
 		if compared < replication.CopiesNeeded(len(members), budget) {
-			f.t.Fatal("only ", compared, " members have the durable record ", index)
+			f.t.Fatalf("%d members have the durable record %d, want at least %d",
+				compared, index, replication.CopiesNeeded(len(members), budget))
 		}
 	}
 }
--- a/internal/batch/store/duplicates_test.go
+++ b/internal/batch/store/duplicates_test.go
@@ -34,7 +34,7 @@
 // A second copy of a submission that was rejected, or that was referred to another leader, must
 // not be accepted, whatever has changed in between: its sender already has the response to the
 // first copy. The same job under a new request ID is accepted.
-func TestSecondCopyOfARejectedSubmission(t *testing.T) {
+func TestSecondCopyOfARejectedSubmissionIsNotAccepted(t *testing.T) {
 	server := soleLeader(t, simulation.NewDisk(4))
 	full := submitCall("full", 6)
 	full.RequestID = "f#1"
@@ -50,7 +50,7 @@
 		t.Fatalf("end of the job returned status %d, want 200", resp.Status)
 	}
 	if resp := sendCall(t, server, late); resp.Status != 504 || jobKnown(t, server, "late") {
-		t.Fatal("the second copy of a rejected submission was accepted: ", resp.Status)
+		t.Fatalf("second copy of a rejected submission: status %d, want 504 and no job", resp.Status)
 	}
 	late.RequestID = "f#3"
 	if resp := sendCall(t, server, late); resp.Status != 202 {
@@ -65,13 +65,13 @@
 	}
 	startTerm(t, server, 2)
 	if resp := sendCall(t, server, moved); resp.Status != 504 || jobKnown(t, server, "moved") {
-		t.Fatal("the second copy of a submission referred to another leader was accepted: ", resp.Status)
+		t.Fatalf("second copy of a submission referred to another leader: status %d, want 504 and no job", resp.Status)
 	}
 }
 
 // Copies of many submissions race. Each request must have one outcome, and a job must exist only
 // if one of its requests was not rejected.
-func TestCopiesOfSubmissionsRace(t *testing.T) {
+func TestRacingCopiesOfARequestHaveOneOutcome(t *testing.T) {
 	server := soleLeader(t, simulation.NewDisk(5))
 	var group sync.WaitGroup
 	var lock sync.Mutex
@@ -93,7 +93,7 @@
 	group.Wait()
 	for requestID := range rejected {
 		if rejected[requestID] && accepted[requestID] {
-			t.Error("both rejected and accepted: ", requestID)
+			t.Errorf("request %s was both rejected and accepted, want one outcome", requestID)
 		}
 	}
 	if jobCount(server) != 3 {
--- a/internal/batch/store/fleet_test.go
+++ b/internal/batch/store/fleet_test.go
@@ -146,7 +146,7 @@
 				continue
 			}
 			if resp.Status != want {
-				f.t.Fatalf("%s %s: %d by %s, want %d", call.Method, call.Job, resp.Status, server.Node.Self.Name, want)
+				f.t.Fatalf("%s %s: status %d from %s, want %d", call.Method, call.Job, resp.Status, server.Node.Self.Name, want)
 			}
 			return true
 		}
--- a/internal/batch/store/forwarder_test.go
+++ b/internal/batch/store/forwarder_test.go
@@ -42,7 +42,8 @@
 		start := clock.Now()
 		fleet.submitAndCheck()
 		if took := clock.Now().Sub(start); took > 3*constants.ForwardTimeout+constants.LeaseDuration {
-			t.Errorf("calls on jobs with %s partitioned took %v", name, took)
+			t.Errorf("calls on jobs with %s partitioned took %v, want at most %v",
+				name, took, 3*constants.ForwardTimeout+constants.LeaseDuration)
 		}
 		fleet.network.SetPartitioned(address, false)
 	}
@@ -54,8 +55,8 @@
 	}
 }
 
-// The forwarder drops a request if the queue is full and reports nothing for one whose target does
-// not respond: the leader sends those records itself.
+// The forwarder must drop requests while the queue is full, since the leader sends those records
+// itself. It must forward the others in order and report each response to the leader once.
 func TestForwarderDropsRequestsOfFullQueue(t *testing.T) {
 	network, stop := transport.NewMemoryNetwork(), make(chan struct{})
 	defer close(stop)
@@ -67,7 +68,7 @@
 			return nil, err
 		}
 		if req.Disk != "target" || req.Forward != nil {
-			t.Error("got a forwarded request for disk ", req.Disk, ", to be forwarded to ", req.Forward, "; want disk target and nil")
+			t.Errorf("got a request for disk %s, to be forwarded to %+v; want disk target and nil", req.Disk, req.Forward)
 		}
 		forwarded <- req.PreviousIndex
 		return transport.Encode(&messages.AppendResponse{Granted: true, Last: req.PreviousIndex})
@@ -92,7 +93,7 @@
 	for range constants.ForwardQueue {
 		index := <-forwarded
 		if index <= last {
-			t.Fatal("forwarded out of order: ", index, last)
+			t.Fatalf("request with previous index %d was forwarded after %d, want ascending indexes", index, last)
 		}
 		last = index
 	}
--- a/internal/batch/store/history_test.go
+++ b/internal/batch/store/history_test.go
@@ -53,8 +53,8 @@
 		}
 		s.world.Run(s.world.Now.Add(clock.Milliseconds(10)))
 	}
-	store := s.stores[name].store
-	bytes, records := store.Size()
+	log := s.stores[name].log
+	bytes, records := log.Size()
 	return catchUpCost{records: s.sent[name].records - before.records, bytes: s.sent[name].bytes - before.bytes,
 		fileBytes: int(bytes), recordsInMemory: records, duration: s.world.Now.Sub(start)}
 }
@@ -68,7 +68,7 @@
 		for _, store := range fleet.stores {
 			compaction := replicalog.DefaultCompaction()
 			compaction.Records = 40
-			store.store.SetCompaction(compaction)
+			store.log.SetCompaction(compaction)
 		}
 		away := fleet.stores["s2"]
 		fleet.runTerm()
@@ -108,7 +108,8 @@
 		t.Logf("wiped %v, 20 to 24 takeovers: %v", wipe, few)
 		t.Logf("wiped %v, 400 to 404 takeovers: %v", wipe, many)
 		if many.records > 2*few.records || many.bytes > 2*few.bytes || many.fileBytes > 2*few.fileBytes || many.recordsInMemory > 2*few.recordsInMemory || many.duration > 2*few.duration {
-			t.Error("the cost of catching up grows with the length of the history")
+			t.Errorf("catching up costs %v after 20 to 24 takeovers and %v after 400 to 404, want at most twice as much",
+				few, many)
 		}
 	}
 }
--- a/internal/batch/store/losses_test.go
+++ b/internal/batch/store/losses_test.go
@@ -70,7 +70,7 @@
 	target := leader.replicator.Last()
 	reached := func() bool { return leader.replicator.MatchIndex(identity) >= target }
 	if step == stepCopying {
-		return fleet.runUntil(func() bool { return fleet.stores[c.joiner.Address].store.Extent().Last > 0 })
+		return fleet.runUntil(func() bool { return fleet.stores[c.joiner.Address].log.Extent().Last > 0 })
 	}
 	if !fleet.runUntil(reached) {
 		return false
@@ -231,7 +231,8 @@
 	}
 	for step := 0; step < stepCount; step++ {
 		if int64(lossesByStep[step]) < seeds/4 {
-			t.Fatal("too few losses at one of the steps: ", lossesByStep)
+			t.Fatalf("%d losses at step %d, want at least %d; losses by step: %v",
+				lossesByStep[step], step, seeds/4, lossesByStep)
 		}
 	}
 	t.Log("losses by step: ", lossesByStep)
--- a/internal/batch/store/maintenance_test.go
+++ b/internal/batch/store/maintenance_test.go
@@ -12,12 +12,12 @@
 	"lemonarch/internal/tooling/simulation"
 )
 
-// compactPeriodically compacts the logs, each store's at other times. It draws from a random
+// compactPeriodically compacts the logs, each store's at random times. It draws from a random
 // source of its own, so that the rest of a seed's history does not depend on it.
 func (s *simFleet) compactPeriodically(random *rand.Rand) {
 	for _, name := range simulation.SortedKeys(s.stores) {
 		if store := s.stores[name]; !store.down && random.Intn(3) > 0 {
-			if err := store.store.CompactIfDue(s.world.Now); err != nil && !store.faulty {
+			if err := store.log.CompactIfDue(s.world.Now); err != nil && !store.faulty {
 				s.t.Fatal(err)
 			}
 		}
--- a/internal/batch/store/overload_test.go
+++ b/internal/batch/store/overload_test.go
@@ -79,12 +79,12 @@
 		requested += cluster.requested
 		for number := 1; number <= cluster.requested; number++ {
 			if cluster.endCounts[number] != 1 {
-				t.Fatalf("seed %d: live request %d ended %d times", seed, number, cluster.endCounts[number])
+				t.Fatalf("seed %d: live request %d ended %d times, want 1", seed, number, cluster.endCounts[number])
 			}
 		}
 		jobs := cluster.leader.jobs.Jobs()
 		if len(jobs) == 0 {
-			t.Fatalf("seed %d: no jobs", seed)
+			t.Fatalf("seed %d: the last leader has no jobs", seed)
 		}
 		for _, job := range jobs {
 			if len(job.Listings) != job.Total() {
@@ -93,7 +93,7 @@
 			listed := map[string]int{}
 			for _, listing := range job.Listings {
 				listed[listing.Item]++
-				record, err := cluster.stores[cluster.leader.address].store.Read(listing.Index)
+				record, err := cluster.stores[cluster.leader.address].log.Read(listing.Index)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -102,12 +102,13 @@
 					want += fmt.Sprintf("%s.%d\n", listing.Item, event)
 				}
 				if string(record.Body) != want {
-					t.Fatalf("seed %d: %s has the text %q", seed, listing.Item, strings.ReplaceAll(string(record.Body), "\n", " "))
+					t.Fatalf("seed %d: %s has the text %q, want its %d events once each", seed, listing.Item,
+						strings.ReplaceAll(string(record.Body), "\n", " "), clusterEvents)
 				}
 			}
 			for item, count := range listed {
 				if count != 1 {
-					t.Fatalf("seed %d: %s is listed %d times", seed, item, count)
+					t.Fatalf("seed %d: %s is listed %d times, want 1", seed, item, count)
 				}
 			}
 		}
--- a/internal/batch/store/secondloss_test.go
+++ b/internal/batch/store/secondloss_test.go
@@ -82,7 +82,7 @@
 // Two of five disks are lost, and two more before the copies that replace the first two are
 // complete. Everything that was acknowledged must survive: the last member that has it takes over
 // and still returns it.
-func TestSecondLossBeforeTheCopiesAreComplete(t *testing.T) {
+func TestAcknowledgedRecordsSurviveSecondLoss(t *testing.T) {
 	for seed := int64(1); seed <= int64(simulation.Seeds(60)); seed++ {
 		fleet := newSimFleetOf(t, seed, 9, 2, 5)
 		fleet.world.LossProbability, fleet.world.DuplicateProbability = 0.03, 0.03
--- a/internal/batch/store/share_callers_test.go
+++ b/internal/batch/store/share_callers_test.go
@@ -69,7 +69,7 @@
 	if i := listing.Index - leader.firstIndex; i >= 0 && i < int64(len(leader.records)) {
 		return string(leader.records[i].Body)
 	}
-	record, err := s.stores[leader.address].store.Read(listing.Index)
+	record, err := s.stores[leader.address].log.Read(listing.Index)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 		listed := map[string]int{}
 		for _, listing := range job.Listings {
 			listed[listing.Item]++
-			record, err := s.stores[s.leader.address].store.Read(listing.Index)
+			record, err := s.stores[s.leader.address].log.Read(listing.Index)
 			if err != nil {
 				s.t.Fatal(err)
 			}
@@ -108,9 +108,11 @@
 				s.t.Fatalf("seed %d: %s has two positions", seed, listing.Item)
 			case listing.Abandoned && !s.rejected[listing.Item] && s.failures[listing.Item] < shareAttempts &&
 				s.world.Now.Sub(s.sentAt[id]) < clock.Milliseconds(shareRetainMs):
-				s.t.Fatalf("seed %d: %s was abandoned after %d failures", seed, listing.Item, s.failures[listing.Item])
+				s.t.Fatalf("seed %d: %s was abandoned after %d failures, want %d, a rejection or retain-s passed",
+					seed, listing.Item, s.failures[listing.Item], shareAttempts)
 			case !listing.Abandoned && string(record.Body) != want:
-				s.t.Fatalf("seed %d: %s has the text %q", seed, listing.Item, strings.ReplaceAll(string(record.Body), "\n", " "))
+				s.t.Fatalf("seed %d: %s has the text %q, want its %d events once each", seed, listing.Item,
+					strings.ReplaceAll(string(record.Body), "\n", " "), shareEvents)
 			case listing.Abandoned && s.accepted[listing.Item] != "" && s.accepted[listing.Item] != "rejected":
 				s.t.Fatalf("seed %d: %s was acknowledged and then abandoned", seed, listing.Item)
 			}
--- a/internal/batch/store/share_test.go
+++ b/internal/batch/store/share_test.go
@@ -143,7 +143,8 @@
 	}
 	for name, minimum := range map[string]int64{"lapses": 3, "adopted": 3, "releases": 10, "failures": 3, "dropped": 1, "accepted": 20, "calls": 100, "ended": 1, "early": 1} {
 		if total[name] < minimum*seeds/2 {
-			t.Fatalf("too few events of a kind, want more faults: %v", total)
+			t.Fatalf("%d events of kind %q in %d seeds, want at least %d; all kinds: %v",
+				total[name], name, seeds, minimum*seeds/2, total)
 		}
 	}
 	t.Log(total)
--- a/internal/batch/store/simulation_leader_test.go
+++ b/internal/batch/store/simulation_leader_test.go
@@ -20,13 +20,13 @@
 			}
 			source := s.fleet.stores[member.Address]
 			target := copies[best]
-			for next := replication.CommonIndex(own.store.Extent(), replication.ExtentOfFence(&target)) + 1; next <= copies[best].Last; {
-				fetched, err := source.store.Fetch(&messages.FetchRequest{First: next})
+			for next := replication.CommonIndex(own.log.Extent(), replication.ExtentOfFence(&target)) + 1; next <= copies[best].Last; {
+				fetched, err := source.log.Fetch(&messages.FetchRequest{First: next})
 				if err != nil || source.down || len(fetched.Records) == 0 {
 					return
 				}
-				resp, err := own.store.Append(&messages.AppendRequest{Epoch: s.epoch, Disk: own.member.Disk, PreviousIndex: next - 1,
-					PreviousEpoch: own.store.EpochAt(next - 1), Records: fetched.Records, Base: fetched.Base, BaseEpoch: fetched.BaseEpoch})
+				resp, err := own.log.Append(&messages.AppendRequest{Epoch: s.epoch, Disk: own.member.Disk, PreviousIndex: next - 1,
+					PreviousEpoch: own.log.EpochAt(next - 1), Records: fetched.Records, Base: fetched.Base, BaseEpoch: fetched.BaseEpoch})
 				if err != nil || !resp.Granted {
 					return
 				}
@@ -34,9 +34,9 @@
 			}
 		}
 	}
-	last := own.store.Extent().Last
+	last := own.log.Extent().Last
 	s.replicator = replication.NewReplicator(s.epoch, set, s.fleet.budget, last+1)
-	jobs, err := own.store.Jobs()
+	jobs, err := own.log.Jobs()
 	if err != nil {
 		s.fleet.t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 		if target.down {
 			return
 		}
-		resp, err := target.store.Append(req)
+		resp, err := target.log.Append(req)
 		if err != nil {
 			return
 		}
@@ -89,10 +89,10 @@
 func (s *simLeader) appendRequest(member messages.Member, next int64) *messages.AppendRequest {
 	fleet := s.fleet
 	req := &messages.AppendRequest{Epoch: s.epoch, Disk: member.Disk, PreviousIndex: next - 1, CommitIndex: s.replicator.CommitIndex()}
-	if next >= s.firstIndex && next > fleet.stores[s.address].store.Compacted() {
+	if next >= s.firstIndex && next > fleet.stores[s.address].log.Compacted() {
 		req.Records = append(req.Records, s.records[next-s.firstIndex:]...)
 	} else {
-		fetched, err := fleet.stores[s.address].store.Fetch(&messages.FetchRequest{First: next})
+		fetched, err := fleet.stores[s.address].log.Fetch(&messages.FetchRequest{First: next})
 		if err != nil {
 			return nil
 		}
@@ -106,7 +106,7 @@
 	if next-1 >= s.firstIndex {
 		req.PreviousEpoch = s.epoch
 	} else {
-		req.PreviousEpoch = fleet.stores[s.address].store.EpochAt(next - 1)
+		req.PreviousEpoch = fleet.stores[s.address].log.EpochAt(next - 1)
 	}
 	return req
 }
@@ -123,7 +123,7 @@
 			s.applyCommitted()
 		}
 	case resp.EpochRanges != nil:
-		common := replication.CommonIndex(s.fleet.stores[s.address].store.Extent(), replication.ExtentOfAppend(resp))
+		common := replication.CommonIndex(s.fleet.stores[s.address].log.Extent(), replication.ExtentOfAppend(resp))
 		s.nextIndex[identity] = min(common, next-1) + 1
 	}
 }
--- a/internal/batch/store/simulation_test.go
+++ b/internal/batch/store/simulation_test.go
@@ -18,7 +18,7 @@
 type simStore struct {
 	member messages.Member
 	disk   *simulation.Disk
-	store  *replicalog.Log
+	log    *replicalog.Log
 	down   bool
 	// faulty is set while its disk may fail operations.
 	faulty bool
@@ -107,7 +107,7 @@
 	}
 	// Files are compacted once at least six records, and at least half of all, are obsolete, never by size.
 	log.SetCompaction(replicalog.Compaction{Bytes: 1 << 40, Records: 6, Lag: clock.Milliseconds(150)})
-	store.store, store.down = log, false
+	store.log, store.down = log, false
 	store.member.Disk = log.Disk()
 }
 
@@ -124,7 +124,7 @@
 			if target.down {
 				return
 			}
-			resp, err := target.store.Fence(&messages.FenceRequest{Epoch: leader.epoch, Disk: member.Disk})
+			resp, err := target.log.Fence(&messages.FenceRequest{Epoch: leader.epoch, Disk: member.Disk})
 			s.world.Send(member.Address, name, func() {
 				if err != nil || !resp.Granted || s.stores[name].down {
 					return
