--- a/internal/traffic/admission/capacity_test.go
+++ b/internal/traffic/admission/capacity_test.go
@@ -8,7 +8,7 @@
 )
 
 // If several processes place items, each keeps the floor of the workers it owns, so that together
-// they keep one floor.
+// they keep one floor. BulkCapacity counts only workers that the request allows.
 func TestPreemptionFloorCountsOwnedWorkers(t *testing.T) {
 	const capacity = 100
 	scheduler := newScheduler(t, capacity, "v", "w")
--- a/internal/traffic/admission/health_test.go
+++ b/internal/traffic/admission/health_test.go
@@ -30,8 +30,9 @@
 	return placements
 }
 
-// An ejected worker gets no requests, then trials with retryable requests only, and returns with
-// the first trial that succeeds. OnEjection is called for the ejection and the return.
+// A worker that is ejected for the first time gets no requests, then trials with retryable requests
+// only, and returns with the first trial that succeeds. OnEjection is called for the ejection and the
+// return.
 func TestEjectionAndReturn(t *testing.T) {
 	for _, result := range []Result{ResultFailed, ResultUnreachable, ResultTimeout, ResultServerError, ResultMisdirected} {
 		scheduler := newScheduler(t, 4, "v", "w", "x", "y")
--- a/internal/traffic/admission/preemption_test.go
+++ b/internal/traffic/admission/preemption_test.go
@@ -150,7 +150,7 @@
 }
 
 // A long prompt that a peer placed on a worker counts as pending there until it is prefilled, and
-// new requests avoid the worker.
+// new requests avoid the worker. A long prompt that is placed here is passed to OnPrefill.
 func TestPeersLongPromptIsAvoided(t *testing.T) {
 	scheduler := newScheduler(t, 8, "v", "w")
 	config, err := routeconfig.Parse([]byte(`{"generation":2,"backends":[{"name":"s","engine":{"capacity":8,"cache-tokens":1000}}]}`))
--- a/internal/traffic/admission/subset_test.go
+++ b/internal/traffic/admission/subset_test.go
@@ -148,7 +148,8 @@
 	}
 }
 
-// A worker of unknown load is assumed to be neither empty nor full.
+// A worker of unknown load is assumed to have the mean load of the workers whose load is known. Here
+// these are full, so no request may be placed until their samples expire.
 func TestUnknownLoadIsAssumedToBeMean(t *testing.T) {
 	scheduler := newScheduler(t, 4, "v", "w", "x")
 	for _, worker := range []string{"v", "w"} {
--- a/internal/traffic/gateway/connections_test.go
+++ b/internal/traffic/gateway/connections_test.go
@@ -112,7 +112,8 @@
 		t.Fatal(err)
 	}
 	if count, err := closed.Read(make([]byte, 4)); count != 0 || !errors.Is(err, net.ErrClosed) || !closedRaw.closed {
-		t.Errorf("read %d bytes, error %v from a closed connection, want 0 and net.ErrClosed", count, err)
+		t.Errorf("got %d bytes, error %v, underlying connection closed: %v; want 0, net.ErrClosed and true",
+			count, err, closedRaw.closed)
 	}
 	if owner.closeIdle() || acceptedRaw.closed {
 		t.Error("the connection of an accepted request was closed")
@@ -170,17 +171,17 @@
 	}
 }
 
-// headLimits is a listener that records the head limits set on it.
-type headLimits struct {
+// headLimitListener is a listener that records the head limits set on it, in bytes.
+type headLimitListener struct {
 	net.Listener
 	limits []int
 }
 
-func (h *headLimits) SetHeadLimit(limit int) { h.limits = append(h.limits, limit) }
+func (h *headLimitListener) SetHeadLimit(limit int) { h.limits = append(h.limits, limit) }
 
 // The head limit must be the larger of those of the current and the previous configuration.
 func TestHeadLimitOfCurrentOrPreviousConfiguration(t *testing.T) {
-	listener := &headLimits{}
+	listener := &headLimitListener{}
 	owner := newClientConns(listener, routeconfig.Limits{HeaderBytes: 16_000})
 	for _, bytes := range []int{100_000, 8_000, 8_000, 0} {
 		owner.setLimits(routeconfig.Limits{HeaderBytes: bytes})
--- a/internal/traffic/gateway/jobcall_test.go
+++ b/internal/traffic/gateway/jobcall_test.go
@@ -58,10 +58,11 @@
 // bytes.
 const jobFrameLength = 130
 
-// Injects each fault into the connection to the leading store, at bytes of the submission and of the
-// response. A caller must get the response of its own job, and a submission that was accepted must not get
-// a status that promises that it will not run.
-func TestJobCallsAtEveryByte(t *testing.T) {
+// Injects each fault into the connection to the leading store, at every seventh byte of a submission and of
+// a response, while three calls are in flight. A caller must get the response of its own job. A submission
+// must be accepted once at most, and if it was accepted, must not get a status that promises that it will
+// not run.
+func TestJobCallOutcomesUnderConnectionFaults(t *testing.T) {
 	const step = 7
 	for _, fault := range faultrelay.Faults() {
 		for i := int(fault) % step; i < 2*jobFrameLength; i += step {
--- a/internal/traffic/gateway/jobforwarder_test.go
+++ b/internal/traffic/gateway/jobforwarder_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// A gateway that can't reach a store must relay its calls through another gateway, through one only.
+// A gateway that can't reach a store must relay its calls through another gateway, marked as forwarded so
+// that they are not relayed a second time.
 func TestPartitionedGatewayRelaysItsCalls(t *testing.T) {
 	network := transport.NewMemoryNetwork()
 	gateways := map[string]*jobForwarder{}
@@ -90,7 +91,8 @@
 	observe("near", messages.NodeInfo{Name: "z", Role: membership.RoleStore, Address: "store"})
 	resp, _ := gateways["cut"].Forward(&messages.JobCallRequest{Method: "POST", Job: "l"}, clock.Milliseconds(5000))
 	if resp == nil || resp.Status != 202 || len(calls) != 1 || !calls[0] {
-		t.Fatalf("got %+v and calls with relayed=%v, want status 202 and one relayed call", resp, calls)
+		t.Fatalf("got %+v and calls at the store with Forwarded %v, want status 202 and one call with true",
+			resp, calls)
 	}
 	// If the other gateway can't reach a store either, nothing ran and there is no response.
 	network.Transport("store").Close()
--- a/internal/traffic/gateway/lingeringclose_test.go
+++ b/internal/traffic/gateway/lingeringclose_test.go
@@ -13,7 +13,8 @@
 )
 
 // A real client that sends far more than the limit must get a response, 431 for its head or 413 for its
-// body, instead of a connection reset.
+// body, instead of a connection reset: closing a connection with unread bytes resets it, and the client may
+// then lose the response.
 func TestTooLargeRequestGetsAResponseNotAReset(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/traffic/gateway/outcome_test.go
+++ b/internal/traffic/gateway/outcome_test.go
@@ -177,7 +177,7 @@
 		}
 		for job, attemptID := range sim.accepted {
 			if status := promisedNotRun[attemptID]; status > 0 {
-				t.Fatalf("seed %d: %s got status %d, but the same attempt was accepted", seed, job, status)
+				t.Fatalf("seed %d, job %s: attempt %s got status %d, but was accepted", seed, job, attemptID, status)
 			}
 		}
 	}
@@ -220,8 +220,8 @@
 	}
 }
 
-// A relaying gateway whose call to the store timed out must report an unknown outcome. The first gateway, which
-// reached no store itself, must then not promise that the job will not run.
+// A relaying gateway whose call to the store timed out must report an unknown outcome. The first gateway,
+// which reached no store itself, must then not promise that the job will not run.
 func TestTimeoutBehindARelayIsOutcomeUnknown(t *testing.T) {
 	sim := newSimulation(1)
 	network := transport.NewMemoryNetwork()
--- a/internal/traffic/health/outcomes_test.go
+++ b/internal/traffic/health/outcomes_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// No more than constants.EjectShare of the workers is ejected however many fail, and a service's
-// only worker never is.
+// No more than constants.EjectShare of the workers (or one, if that rounds down to none of several) is
+// ejected however many fail, and a service's only worker never is.
 func TestNeverMoreThanAShareIsEjected(t *testing.T) {
 	for _, count := range []int{1, 2, 4, 9, 60} {
 		tracker, workerList := New(), workerNames(count)
@@ -101,7 +101,8 @@
 	}
 }
 
-// Each ejection lasts twice as long as the previous one, up to a maximum.
+// Each ejection lasts twice as long as the previous one, up to a maximum. After more than
+// constants.EjectForget without a failure, the next one lasts as long as the first.
 func TestEjectionsLengthen(t *testing.T) {
 	tracker, now := New(), second
 	names := workerNames(5)
@@ -126,8 +127,8 @@
 	}
 }
 
-// After its ejection a worker receives one retryable request at a time. It returns with the first
-// trial that succeeds, or without trials when its trial period has passed.
+// After its first ejection a worker receives one retryable request at a time. It returns with the
+// first trial that succeeds, or without trials when its trial period has passed.
 func TestReturnAfterTrial(t *testing.T) {
 	tracker, workerList := New(), workerNames(4)
 	duration := tracker.RecordFault("w00", "s", FaultTimeout, second)
@@ -197,7 +198,8 @@
 }
 
 // Incarnations at one address that end without draining: the first successor is not ejected, later
-// ones are ejected for a growing time. Orderly ends and other services' incarnations do not count.
+// ones are ejected for a growing time. Orderly ends, other services' incarnations, incarnations in one
+// update, and ends more than constants.FlapWindow after the start do not count.
 func TestFlappingIncarnationsAreEjected(t *testing.T) {
 	tracker := New()
 	now := second
--- a/internal/traffic/loadgossip/budget_test.go
+++ b/internal/traffic/loadgossip/budget_test.go
@@ -22,7 +22,7 @@
 		{24, 10, membership.RoleGateway, constants.ConnectionsMin},
 	} {
 		if got := connectionBudget(test.capacity, test.limit, test.role); got != test.want {
-			t.Errorf("%+v: got %d connections", test, got)
+			t.Errorf("%+v: got %d connections, want %d", test, got, test.want)
 		}
 	}
 }
--- a/internal/traffic/loadgossip/peers_test.go
+++ b/internal/traffic/loadgossip/peers_test.go
@@ -34,7 +34,8 @@
 		}
 		for _, own := range nodes {
 			if len(recipients[own.Name]) != min(constants.GossipFanout, count-1) {
-				t.Fatalf("%s of %d processes notifies %v, want %d others at most", own.Name, count, recipients[own.Name], constants.GossipFanout)
+				t.Fatalf("%s of %d processes notifies %v, want %d others",
+					own.Name, count, recipients[own.Name], min(constants.GossipFanout, count-1))
 			}
 			if received[own.Name] == 0 {
 				t.Fatalf("none of %d processes notifies %s", count, own.Name)
@@ -60,7 +61,7 @@
 	}
 }
 
-// A process that leaves changes only the neighbours next to it.
+// A process that leaves changes the neighbours only of the processes before it in the rings.
 func TestNeighboursAreStable(t *testing.T) {
 	nodes := zone("a", 60)
 	changed := 0
--- a/internal/traffic/prefixindex/prefixindex_test.go
+++ b/internal/traffic/prefixindex/prefixindex_test.go
@@ -17,11 +17,14 @@
 	"lemonarch/internal/platform/messages"
 )
 
+// prompt returns a prompt with a first part of the given length in tokens, the same for all prompts, and a
+// part of its own of 200 tokens.
 func prompt(own string, tokens int) *Prompt {
 	parsed := ParsePrompt("m", fmt.Sprintf("%d,80", tokens+200), fmt.Sprintf("aa:%d,%s:200", tokens, own))
 	return &parsed
 }
 
+// twoCandidates returns a first worker with the given wait in ms, and a second one without a wait.
 func twoCandidates(waitFirst float64) []Candidate {
 	return []Candidate{{Worker: "first", WaitMs: waitFirst}, {Worker: "second"}}
 }
--- a/internal/traffic/proxy/begunresponse_test.go
+++ b/internal/traffic/proxy/begunresponse_test.go
@@ -13,8 +13,9 @@
 )
 
 // Guards against truncating a response that has begun because no other worker has capacity at the
-// moment. The only worker breaks the stream off and is then excluded from the next attempt. The
-// stream must resume there after a short wait, within the same response.
+// moment. The only worker stops sending within the stream, with the connection open, and is then
+// excluded from the next attempt. The stream must resume there after a short wait, within the same
+// response.
 func TestBegunResponseWaitsForCapacity(t *testing.T) {
 	worker := newWorkerStub(t, "w1", func(count int, request *http.Request, connection net.Conn) {
 		from := 0
--- a/internal/traffic/proxy/bounds_test.go
+++ b/internal/traffic/proxy/bounds_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Workers stop sending after any share of a response. The request must end within its route's cutoff
-// and a quarter of a second.
+// Workers stop sending after 0 to 95 % of a response, with the connection open. The request must end within
+// its route's cutoff and a quarter of a second.
 func TestEveryWaitEndsWithTheCutoff(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/stream/x", "/once/x", "/rigid/x"} {
 		for _, share := range []int{0, 20, 60, 95} {
@@ -82,7 +82,7 @@
 				}
 				server, proxy := newProxyServer(t, newWorkerStub(t, "w1", script), newWorkerStub(t, "w2", script), newWorkerStub(t, "w3", script))
 				setShortCutoffs(t, proxy)
-				// A stall of the machine delays every process, so only a request that is late in each attempt fails.
+				// A stall of the machine may delay any request, so the test fails only if all attempts are late.
 				const cutoffMs, attempts = 300, 3
 				for attempt := 1; ; attempt++ {
 					started := clock.Now()
@@ -153,7 +153,7 @@
 		setConfig(t, proxy, `{"generation":9,"channels":[],"backends":[],"limits":{"max-header-bytes":8192,"max-body-bytes":1000,"header-wait-ms":30,"idle-ms":50}}`)
 		close(complete)
 		if err := <-ended; err != nil {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("%s: got %v, want status 200 and the complete response", path, err)
 		}
 	}
 }
--- a/internal/traffic/proxy/core_test.go
+++ b/internal/traffic/proxy/core_test.go
@@ -13,7 +13,8 @@
 )
 
 // For any evidence, an effectful request must not run twice, and a client must not receive parts of
-// two runs unless the second resumes the first.
+// two runs unless the second resumes the first. A request that may be repeated must be retried while the
+// client has received no head.
 func TestDecideRetry(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	parameters.MinSuccessfulTests = 2000
--- a/internal/traffic/proxy/everybyte_test.go
+++ b/internal/traffic/proxy/everybyte_test.go
@@ -201,7 +201,7 @@
 				if i >= requestLength {
 					injection.Response, injection.At = true, i-requestLength
 				} else if fault == faultrelay.Duplicate {
-					// A network does not deliver the bytes of a connection twice.
+					// A network does not deliver the bytes of a connection to a worker twice.
 					continue
 				}
 				for _, reused := range connectionCases(i, fault) {
--- a/internal/traffic/proxy/fault_test.go
+++ b/internal/traffic/proxy/fault_test.go
@@ -50,7 +50,7 @@
 			t.Fatalf("%s: got %v %q %v after %d and %d runs, want 200 after 1 and 1", path, resp, body, err, hanging.requestCount(), good.requestCount())
 		}
 		if took > constants.StreamTimeout/2 {
-			t.Fatalf("%s: retried at another worker only after %v", path, took)
+			t.Fatalf("%s: served by another worker after %v, want %v at most", path, took, constants.StreamTimeout/2)
 		}
 		var failures int64
 		proxy.Scheduler.WithLock(func() { _, failures = proxy.Scheduler.Tracker.HealthOf("w1").Counts() })
@@ -106,8 +106,9 @@
 	}
 }
 
-// A 500 and a rejection despite free capacity must count as failures in the worker's health; a 504 at
-// the deadline and a 4xx must not.
+// A 500, a 503 without Lemonarch-Not-Executed and a rejection despite free capacity must count as failures
+// in the worker's health. A 504 at the deadline, a 4xx, and a rejection by a worker that is full or states
+// no load must not.
 func TestResponsesThatCountAsWorkerFailures(t *testing.T) {
 	for text, wantFailure := range map[string]bool{
 		"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n":                                                                true,
--- a/internal/traffic/proxy/match_test.go
+++ b/internal/traffic/proxy/match_test.go
@@ -85,7 +85,7 @@
 
 // A worker's 503, 429 or 408 without Lemonarch-Not-Executed does not promise that the request has not
 // run. It must not be relayed, since to the client it would be that promise.
-func TestUnmarked503IsNotRelayed(t *testing.T) {
+func TestUnmarkedRejectionIsNotRelayed(t *testing.T) {
 	for _, status := range []string{"503 No", "429 No", "408 No"} {
 		for _, path := range []string{"/once/x", "/safe/x"} {
 			worker := newWorkerStub(t, "w1", func(_ int, _ *http.Request, connection net.Conn) {
--- a/internal/traffic/proxy/protocol_test.go
+++ b/internal/traffic/proxy/protocol_test.go
@@ -76,7 +76,7 @@
 			write(connection, fmt.Sprintf("HTTP/1.1 200 OK\r\nLemonarch-Attempt-Id: %s\r\nLemonarch-Server-Seal: seal\r\nConnection: close\r\n\r\nall of it",
 				request.Header.Get(headerAttempt)))
 			if reset {
-				// Wait until the written bytes have been read, since a reset may discard them.
+				// Leave time for the written bytes to be read, since a reset may discard them.
 				clock.Sleep(clock.Milliseconds(20))
 				_ = connection.(*net.TCPConn).SetLinger(0)
 			}
@@ -168,7 +168,7 @@
 
 // A gateway without a configuration does not know the routes yet, so it must respond 503 rather than a
 // final error such as 404.
-func TestMissingConfigurationReturnsRetryAfter(t *testing.T) {
+func TestMissingConfigurationReturns503(t *testing.T) {
 	scheduler := admission.New(messages.NodeInfo{Name: "n", Role: membership.RoleGateway, Zone: "h"}, 1_200_000_000)
 	server := httptest.NewServer(New(Sender{Scheduler: scheduler, Pool: workerconn.NewPool()}, nil, hclog.NewNullLogger()))
 	defer server.Close()
@@ -195,8 +195,8 @@
 				want := share * requests / 100
 				worst = max(worst, got-want, want-got)
 			}
-			// With few nodes the sequence keeps the shares even; with many, each receives about one
-			// request and the deviation is random. The bounds are 0.02 and 0.13 of the requests.
+			// With few nodes the sequence keeps the shares even; with many, each receives one to five
+			// requests and the deviation is random. The bounds are 0.02 and 0.13 of the requests.
 			bound := 2 * requests / 100
 			if nodes > requests/20 {
 				bound = 13 * requests / 100
--- a/internal/traffic/proxy/proxy_test.go
+++ b/internal/traffic/proxy/proxy_test.go
@@ -32,8 +32,8 @@
 }
 
 // Guards against a second run of an effectful request whose response was truncated at any byte. It must
-// not be sent to a second worker, and must not be rejected as if it had not run.
-func TestEffectfulRequestWithResponseTruncatedAtEveryByte(t *testing.T) {
+// not be sent to a second worker, must not be rejected as if it had not run, and must not get a success.
+func TestEffectfulRequestRunsOnceIfResponseIsTruncated(t *testing.T) {
 	complete := success(&http.Request{Header: http.Header{headerAttempt: {"attempt-1"}}}, "hello")
 	for length := 0; length < len(complete); length++ {
 		script := func(_ int, _ *http.Request, connection net.Conn) {
@@ -45,7 +45,7 @@
 		started := clock.Now()
 		resp, _, err := sendRequest(t, server, "/once/x", nil)
 		ran := first.requestCount() + second.requestCount()
-		// The request may not have run only if this process stalled past the route's cutoff.
+		// No worker gets the request if this process stalls past the route's cutoff before sending it.
 		late := clock.Now().Sub(started) >= clock.Milliseconds(onceCutoffMs)
 		if ran > 1 || (ran == 0 && !late) {
 			t.Fatalf("truncated at byte %d: request ran %d times, want once (late: %v)", length, ran, late)
@@ -95,7 +95,8 @@
 	}
 }
 
-// An idempotent request with a truncated or corrupt response must be retried at another worker.
+// An idempotent request must be retried at another worker if the response is not valid HTTP, has no
+// seal, is content-encoded or is truncated.
 func TestCorruptResponsesAreRetried(t *testing.T) {
 	for name, text := range map[string]string{
 		"garbled":  "not an answer at all\r\n\r\n",
@@ -145,8 +146,8 @@
 	}
 }
 
-// A resumable stream that breaks after any event must resume at another worker, under the head from the
-// first one, and each event must arrive once.
+// A resumable stream that breaks after any event must resume at another worker, and each event must arrive
+// once. The head is that of the first worker, unless it broke off before its first complete event.
 func TestResumeAtEveryEvent(t *testing.T) {
 	const events = 6
 	for sent := 0; sent <= events; sent++ {
--- a/internal/traffic/trafficstats/trafficstats_test.go
+++ b/internal/traffic/trafficstats/trafficstats_test.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// Classes beyond the limit are counted together, and a histogram returns a duration within 10%.
+// Classes beyond the limit are counted together, so that the encoded summaries have at most 200 KiB. A
+// histogram returns a duration within 10%. A nil recorder records nothing.
 func TestSummariesAreBounded(t *testing.T) {
 	recorder, random := New(0), rand.New(rand.NewPCG(3, 3))
 	for i := range 10 * constants.TrafficClasses {
