--- a/cmd/lemonarch/assign_apply_test.go
+++ b/cmd/lemonarch/assign_apply_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestApplyUnusable(t *testing.T) {
+func TestApplyRejectsInvalidArguments(t *testing.T) {
 	for name, arguments := range map[string][]string{
 		"no seed":      {"apply", exampleRules},
 		"seed no port": {"apply", exampleRules, "--seed", "nowhere"},
--- a/cmd/lemonarch/assign_test.go
+++ b/cmd/lemonarch/assign_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestAssignCollision(t *testing.T) {
+func TestAssignReportsCollisions(t *testing.T) {
 	text, _ := os.ReadFile(exampleRules)
 	path := writeTestFile(t, "rules.toml", strings.Replace(string(text), `name = "n3"`+"\n"+`zone = "oslo-b"`, `name = "n3"`+"\n"+`zone = "oslo-b"`+"\nlabels = [\"large\"]", 1)+
 		"\n[[rules]]\nname = \"no-second-slot\"\nkind = \"never\"\nadapters = [\"battery-fault-reader\"]\nnodes = [\"n1\", \"n2\", \"n3\"]\n")
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestAssignUnusable(t *testing.T) {
+func TestAssignRejectsInvalidInput(t *testing.T) {
 	invalid := writeTestFile(t, "invalid.toml", "generation = 1\n[[nodes]]\nname = 'n'\nzone = 'z'\nadapter-slot = 1\n")
 	output, diagnostics, code, _ := runAssign(invalid)
 	if code != exitInvalid || output != "" || !strings.Contains(diagnostics, "nodes[0].adapter-slot:") || !strings.Contains(diagnostics, "nodes[0].adapter-slots:") {
--- a/cmd/lemonarch/forecast_test.go
+++ b/cmd/lemonarch/forecast_test.go
@@ -28,8 +28,8 @@
 	return stdout.String(), stderr.String(), code
 }
 
-// TestForecastExitCodes checks that an invalid file is rejected with a line for each field before any
-// request goes to the fleet, and that an unreachable fleet has an exit code of its own.
+// TestForecastExitCodes checks that an invalid file is rejected with a line that names the field before
+// any request goes to the fleet, and that an unreachable fleet has an exit code of its own.
 func TestForecastExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/internal/configuration/configcheck/configcheck_test.go
+++ b/internal/configuration/configcheck/configcheck_test.go
@@ -13,7 +13,7 @@
 {"name":"b","host":"h.example","path-prefix":"/one/two/","route-kind":"effectful","cutoff-ms":100,"backend":"t","later":1}],
 "backends":[{"name":"s","probe":"/health","conn-limit":9},{"name":"t"}],"limits":{"max-header-bytes":100},"also-later":{}}`
 
-func TestFindings(t *testing.T) {
+func TestInvalidConfigurationsAreRejected(t *testing.T) {
 	checker, err := New()
 	if err != nil {
 		t.Fatal(err)
@@ -75,8 +75,9 @@
 	return text.String()
 }
 
-// A configuration that is checked in chunks must meet the same schema as one that is checked as a whole.
-func TestLongConfigurations(t *testing.T) {
+// TestLongConfigurationsMeetTheSameSchema checks that a configuration that is checked in chunks must meet
+// the same schema as one that is checked as a whole.
+func TestLongConfigurationsMeetTheSameSchema(t *testing.T) {
 	checker, err := New()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/configuration/routeconfig/routeconfig_test.go
+++ b/internal/configuration/routeconfig/routeconfig_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A route without retain-s must not give up items early: its default is at least an hour.
-func TestRetain(t *testing.T) {
+// TestRetainDefaultAndOverride checks that a route without retain-s does not give up items early: its
+// default is at least an hour. A configured value is used as it is.
+func TestRetainDefaultAndOverride(t *testing.T) {
 	byDefault, configured := Route{}, Route{RetainS: 5}
 	if byDefault.Retain().Hours() < 1 || configured.Retain().Seconds() != 5 {
 		t.Fatalf("default %v, want at least 1 h; configured %v, want 5 s", byDefault.Retain(), configured.Retain())
--- a/internal/platform/inbound/headscan_test.go
+++ b/internal/platform/inbound/headscan_test.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestHeadLimitChange checks that a raised or lowered head limit applies from the next head on, also on
-// open connections.
-func TestHeadLimitChange(t *testing.T) {
+// TestHeadLimitChangeAppliesToOpenConnections checks that a raised or lowered head limit applies from the
+// next head on, also on open connections. A head may exceed the limit by constants.HeadSlack.
+func TestHeadLimitChangeAppliesToOpenConnections(t *testing.T) {
 	listener, _ := serve(t, 0, 1<<20)
 	c := dial(t, listener)
 	statusFor := func(length int) int {
@@ -107,14 +107,14 @@
 	}
 	listener.SetHeadLimit(8 << 10)
 	if status := statusFor(8 << 10); status != http.StatusOK {
-		t.Errorf("head within the limit: got status %d, want 200", status)
+		t.Errorf("head of just over the limit of 8 KiB, within HeadSlack: got status %d, want 200", status)
 	}
 	listener.SetHeadLimit(32 << 10)
 	if status := statusFor(30 << 10); status != http.StatusOK {
-		t.Errorf("head within the raised limit: got status %d, want 200", status)
+		t.Errorf("head of 30 KiB at the raised limit of 32 KiB: got status %d, want 200", status)
 	}
 	listener.SetHeadLimit(8 << 10)
 	if status := statusFor(30 << 10); status != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("head above the lowered limit: got status %d, want 431", status)
+		t.Errorf("head of 30 KiB at the lowered limit of 8 KiB: got status %d, want 431", status)
 	}
 }
--- a/internal/platform/inbound/inbound_test.go
+++ b/internal/platform/inbound/inbound_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestBodiesOverTheLimit checks that a body above the limit is rejected by its Content-Length, and by
-// the bytes received if it is chunked.
-func TestBodiesOverTheLimit(t *testing.T) {
+// TestBodiesOverTheLimitAreRejected checks that a body above the limit is rejected by its Content-Length,
+// and by the bytes received if it is chunked.
+func TestBodiesOverTheLimitAreRejected(t *testing.T) {
 	listener, memory := serve(t, 0, 1<<20)
 	announced := dial(t, listener)
 	announced.sendPartialBody(bodyLimit+1, 0)
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestConnectionsAreBounded checks that idle connections are closed for new ones at the limit, the
-// longest idle first, and that a request in progress is not interrupted.
+// TestConnectionsAreBounded checks that idle connections are closed for new ones at the limit, and that a
+// request in progress is not interrupted. TestEvictionOrder checks in which order they are closed.
 func TestConnectionsAreBounded(t *testing.T) {
 	const limit = 4
 	listener, _ := serve(t, limit, 1<<20)
--- a/internal/platform/inbound/victim_test.go
+++ b/internal/platform/inbound/victim_test.go
@@ -10,9 +10,10 @@
 	"lemonarch/internal/platform/settings"
 )
 
-// TestEvictionOrder checks the order of eviction: for memory the slowest request first, for connections
-// the one idle for the longest time. A complete request is not evicted for memory, and its connection
-// is closed only if its client has not read the response for long.
+// TestEvictionOrder checks the order of eviction: for memory the slowest request first, then the largest if
+// it is charged more than twice what is needed; for connections the one idle for the longest time first,
+// then the one with the slowest request. A complete request is not evicted for memory, and its connection
+// is closed, last of all, only if its client has not read the response for long.
 func TestEvictionOrder(t *testing.T) {
 	second := clock.Instant(clock.Milliseconds(1000))
 	now := 100 * second
@@ -45,7 +46,7 @@
 		t.Errorf("connections are closed in the order %v, want [6 7 2 1 4]", closed)
 	}
 	if chooseRequest(list[3:4], 500, now) != nil {
-		t.Error("a request was evicted for one that needs nearly as much memory")
+		t.Error("a request charged 800 bytes was evicted for one that needs 500; want none, since it is charged less than twice that")
 	}
 }
 
@@ -71,7 +72,7 @@
 	}
 }
 
-func TestLimitsOfMachine(t *testing.T) {
+func TestLimitsGrowWithTheMachine(t *testing.T) {
 	small := LimitsOf(settings.Limits{MemoryMB: 96, FileHandles: 600})
 	large := LimitsOf(settings.Limits{MemoryMB: 284, FileHandles: 4100})
 	if small.Connections > 200 || small.Connections < 100 || large.Connections < 500 || large.Connections > 1950 || small.Memory >= large.Memory {
--- a/internal/platform/process/signals_test.go
+++ b/internal/platform/process/signals_test.go
@@ -34,9 +34,9 @@
 	os.Exit(m.Run())
 }
 
-// TestReloadChecksTheFileOnly checks that each reload logs exactly one line, whatever the content of the
-// file, and has no other effect. The file is read at the signal, not before.
-func TestReloadChecksTheFileOnly(t *testing.T) {
+// TestReloadLogsOneLine checks that each reload logs exactly one line, whatever the content of the file.
+// The file is read at the signal, not before.
+func TestReloadLogsOneLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	t.Setenv(settings.PathVariable, path)
 	for _, test := range []struct{ text, want string }{
@@ -81,7 +81,7 @@
 type recordingProcess struct{ shutdowns int }
 
 func (*recordingProcess) Run() error  { return nil }
-func (l *recordingProcess) Shutdown() { l.shutdowns++ }
+func (p *recordingProcess) Shutdown() { p.shutdowns++ }
 
 // TestTerminationIsNotLostBehindReloads checks that a termination signal reaches the process after any
 // number of reload signals, and that one received before the process is created ends the start.
--- a/internal/platform/recordlog/recordlog_test.go
+++ b/internal/platform/recordlog/recordlog_test.go
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestStalledDisk checks that a sync on a stalled disk blocks its caller and acknowledges nothing before
-// the disk has completed it.
-func TestStalledDisk(t *testing.T) {
+// TestStalledDiskDelaysSync checks that a sync on a stalled disk blocks its caller and acknowledges nothing
+// before the disk has completed it.
+func TestStalledDiskDelaysSync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := simulation.NewDisk(1)
 		logfile, _ := recordlog.Open(disk, "file", nil)
--- a/internal/platform/transport/async_test.go
+++ b/internal/platform/transport/async_test.go
@@ -72,7 +72,8 @@
 	world.Run(clock.Instant(callTimeout))
 	// The frame header is 17 bytes, as the frame format defines.
 	if resp != "to one" || at != clock.Instant(clock.Milliseconds(2)) || counted.calls != 1 || counted.responses != 1 || counted.bytes != 17+3+17+6 {
-		t.Fatalf("got response %q at %d, counters %+v", resp, at, counted)
+		t.Fatalf("got response %q at %d ns with %d calls, %d responses and %d bytes; want \"to one\" after 2 ms, 1 call, 1 response and 43 bytes",
+			resp, at, counted.calls, counted.responses, counted.bytes)
 	}
 }
 
--- a/internal/platform/transport/everybyte_test.go
+++ b/internal/platform/transport/everybyte_test.go
@@ -22,23 +22,23 @@
 func newCountingServer(t *testing.T, address, incarnation string) *countingServer {
 	t.Helper()
 
-	l := &countingServer{transport: transport.NewTCP(address), calls: map[string]int{}}
-	err := l.transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
-		l.lock.Lock()
-		defer l.lock.Unlock()
-		l.calls[string(body)]++
+	s := &countingServer{transport: transport.NewTCP(address), calls: map[string]int{}}
+	err := s.transport.Serve(func(_ messages.Kind, body []byte) ([]byte, error) {
+		s.lock.Lock()
+		defer s.lock.Unlock()
+		s.calls[string(body)]++
 		return []byte(incarnation + " to " + string(body)), nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return s
 }
 
-func (l *countingServer) callCount(body string) int {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	return l.calls[body]
+func (s *countingServer) callCount(body string) int {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.calls[body]
 }
 
 // frameLength is the length in bytes of the longest frame of this test: a header and "one to right".
--- a/internal/platform/transport/peer_test.go
+++ b/internal/platform/transport/peer_test.go
@@ -22,26 +22,26 @@
 	writes  int
 }
 
-func (h *partialWriter) Write(text []byte) (int, error) {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	h.writes++
+func (w *partialWriter) Write(text []byte) (int, error) {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.writes++
 	switch {
-	case h.closed:
+	case w.closed:
 		return 0, net.ErrClosed
-	case h.writes == 1:
-		h.written.Write(text[:len(text)/2])
+	case w.writes == 1:
+		w.written.Write(text[:len(text)/2])
 		return len(text) / 2, os.ErrDeadlineExceeded
 	}
-	return h.written.Write(text)
+	return w.written.Write(text)
 }
 
-func (h *partialWriter) SetWriteDeadline(clock.Time) error { return nil }
+func (w *partialWriter) SetWriteDeadline(clock.Time) error { return nil }
 
-func (h *partialWriter) Close() error {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	h.closed = true
+func (w *partialWriter) Close() error {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.closed = true
 	return nil
 }
 
--- a/internal/tooling/crowd/harness_test.go
+++ b/internal/tooling/crowd/harness_test.go
@@ -20,8 +20,8 @@
 	"lemonarch/internal/tooling/lab"
 )
 
-// The limits that the settings of the fleets set for each process. Each test fails if a process
-// exceeds them.
+// The limits that the settings of the fleets set for each process. A test fails if the process under
+// attack or the store exceeds them.
 const (
 	memoryMB    = 96
 	fileHandles = 600
--- a/internal/tooling/explore/explore_test.go
+++ b/internal/tooling/explore/explore_test.go
@@ -27,9 +27,9 @@
 	depth int
 }
 
-// TestRegister checks, with messages in any order and any of them lost, that a chosen value is
+// TestRegisterInvariants checks, with messages in any order and any of them lost, that a chosen value is
 // followed only by values built on it, and that every acknowledged version was chosen.
-func TestRegister(t *testing.T) {
+func TestRegisterInvariants(t *testing.T) {
 	explore(t, []exploration{
 		{"two writers", twoWriters, 40},
 		{"two writers, two attempts", twoWriters.with(func(plan *Plan) { plan.Attempts = 2 }), 9},
@@ -40,8 +40,8 @@
 	})
 }
 
-// TestChangeOfMembers checks the same invariants while the set of acceptors changes.
-func TestChangeOfMembers(t *testing.T) {
+// TestRegisterInvariantsDuringMemberChanges checks the same invariants while the set of acceptors changes.
+func TestRegisterInvariantsDuringMemberChanges(t *testing.T) {
 	explore(t, []exploration{
 		{"a disk lost, its machine rejoins", diskLoss, 12},
 		{"a running member replaced", replacement, 10},
--- a/internal/tooling/explore/walk_test.go
+++ b/internal/tooling/explore/walk_test.go
@@ -6,9 +6,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestLongHistories explores long random histories in which members are replaced, lose their disks and
-// rejoin many times while versions are applied one after another.
-func TestLongHistories(t *testing.T) {
+// TestRegisterInvariantsInLongHistories checks the invariants of the register after each step of long random
+// histories, in which members are replaced, lose their disks and rejoin many times while versions are applied
+// one after another.
+func TestRegisterInvariantsInLongHistories(t *testing.T) {
 	plan := Plan{Members: threeMembers, NonMembers: []string{"d", "e"}, Suspect: "a",
 		Reconcilers: []string{"a", "b", "c", "d"}, Writers: []string{"e"}, Versions: 20,
 		Attempts: 60, Wipes: 8, Restarts: 8, Duplicates: 8}
--- a/internal/tooling/fleetshell/fleet_test.go
+++ b/internal/tooling/fleetshell/fleet_test.go
@@ -37,9 +37,9 @@
 			return transport.Encode(resp)
 		})
 	}
-	for _, list := range zones {
-		for _, response := range list {
-			serve(response[0])
+	for _, rows := range zones {
+		for _, process := range rows {
+			serve(process[0])
 		}
 	}
 	network.SetPartitioned("foreman/x:1", true)
--- a/internal/tooling/fleetshell/fleetshell_test.go
+++ b/internal/tooling/fleetshell/fleetshell_test.go
@@ -34,6 +34,9 @@
 	return network, network.Transport("shell")
 }
 
+// TestTimeoutIsShown checks that a process which does not respond in time is shown as such in both formats.
+// It also checks that the output has program names in place of the roles' names on the wire, and that the
+// alias lots queries the stores only.
 func TestTimeoutIsShown(t *testing.T) {
 	network, transport := newTestFleet(t)
 	network.SetPartitioned("forge/b:1", true)
@@ -61,7 +64,7 @@
 	}
 }
 
-func TestInvalidCalls(t *testing.T) {
+func TestInvalidCallsAreRejected(t *testing.T) {
 	_, transport := newTestFleet(t)
 	if _, err := New(transport, "nowhere", 1); !errs.Is(err, ErrInvalidCall) {
 		t.Fatalf("seed without a port: got error %v, want ErrInvalidCall", err)
--- a/internal/tooling/forecast/forecast_test.go
+++ b/internal/tooling/forecast/forecast_test.go
@@ -36,7 +36,7 @@
 			t.Errorf("%s: got family %q short of %q, want %q short of %q\n%s", test.name, first, resource, test.first, test.resource, text.String())
 		}
 		if predicted.AnyLate() != (test.first != "") {
-			t.Errorf("%s: got AnyLate %v, want the opposite", test.name, predicted.AnyLate())
+			t.Errorf("%s: got AnyLate %v, want %v", test.name, predicted.AnyLate(), test.first != "")
 		}
 	}
 }
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestFindings checks that each wrong field of a scenario is named in a finding, and that no report is
-// returned.
-func TestFindings(t *testing.T) {
+// TestWrongFieldsAreReported checks that each wrong field of a scenario is named in a finding, whether it
+// is found when the scenario is read or when it is compared with the state of the fleet.
+func TestWrongFieldsAreReported(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{"", "surges: missing"},
 		{"x", "not readable as TOML"},
--- a/internal/tooling/forecast/helpers_test.go
+++ b/internal/tooling/forecast/helpers_test.go
@@ -18,20 +18,20 @@
 {"name":"status","host":"h","path-prefix":"/s/","route-kind":"idempotent","cutoff-ms":4000,"setpoint-ms":300,"priority":0,"backend":"app"}],
 "backends":[{"name":"llm","conn-limit":200,"engine":{"capacity":12,"cache-tokens":300000}},{"name":"app","conn-limit":100}],"limits":{}}`
 
-// recordRequests adds requests to a recorder, as gateways observe them.
-func recordRequests(recorder *trafficstats.Recorder, count int, o trafficstats.Observation, random *rand.Rand) {
+// recordRequests adds requests to a recorder, as gateways observe them. The requests vary around template.
+func recordRequests(recorder *trafficstats.Recorder, count int, template trafficstats.Observation, random *rand.Rand) {
 	for range count {
-		observation := o
+		observation := template
 		observation.Outcome, observation.Placed = trafficstats.OutcomeServed, true
 		observation.Running = 1 + random.IntN(8)
 		observation.LoadKnown = true
-		if o.Events > 1 {
-			observation.FreshTokens = int(float64(o.FreshTokens) * (0.5 + random.Float64()))
+		if template.Events > 1 {
+			observation.FreshTokens = int(float64(template.FreshTokens) * (0.5 + random.Float64()))
 			// The first event takes 2 ms plus 1 ms per 100 fresh tokens; the gap between two events
 			// is 20 ms plus 1 ms for each running request.
 			observation.FirstEvent = clock.Milliseconds(2 + float64(observation.FreshTokens)/100)
 			observation.EventGap = clock.Milliseconds(20 + float64(observation.Running))
-			observation.Duration = observation.FirstEvent + observation.EventGap*clock.Duration(o.Events-1)
+			observation.Duration = observation.FirstEvent + observation.EventGap*clock.Duration(template.Events-1)
 		}
 		recorder.Record(&observation, 1)
 	}
--- a/internal/tooling/lab/lab_test.go
+++ b/internal/tooling/lab/lab_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestInvalidPlans(t *testing.T) {
+func TestInvalidPlansAreRejected(t *testing.T) {
 	for want, change := range map[string]func(plan *Plan){
 		"gateways":     func(plan *Plan) { plan.Gateways = 0 },
 		"controllers":  func(plan *Plan) { plan.Controllers = -1 },
@@ -128,7 +128,8 @@
 }
 
 // TestExitedChildFailsStart checks that, if a process exits during the start, the error contains its name
-// and the last line of its log, and the other processes are stopped by their ids.
+// and the last line of its log. Start stops the other processes by their ids before it returns, so that the
+// addresses of the fleet are free by then.
 func TestExitedChildFailsStart(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
@@ -150,8 +151,9 @@
 	}
 }
 
-// TestCancelledStart checks that a start whose context is cancelled stops what it has started.
-func TestCancelledStart(t *testing.T) {
+// TestCancelledStartIsStopped checks that a start whose context is cancelled returns an error and leaves
+// the addresses of the fleet free.
+func TestCancelledStartIsStopped(t *testing.T) {
 	plan := NewPlan()
 	plan.Network, plan.Programs = ownNetwork(t), programs(t, "exec sleep 60")
 	ctx, cancel := contexts.WithCancel(contexts.Background())
@@ -191,7 +193,7 @@
 }
 
 // TestOperatorSendsNextGeneration checks that each change is based on the previous generation, and that a
-// rejection is not retried.
+// rejection is returned as a rejectedError, after which a start does not retry.
 func TestOperatorSendsNextGeneration(t *testing.T) {
 	var bases, bodies []string
 	status := http.StatusOK
--- a/internal/tooling/linearize/linearize_test.go
+++ b/internal/tooling/linearize/linearize_test.go
@@ -44,7 +44,8 @@
 	}
 	t.Logf("%d calls, %d with a clear response, highest set epoch %d in one history", calls, clear, epochs)
 	if clear*2 < calls {
-		t.Fatal("less than half of the calls had a clear response: the simulation tests too little")
+		t.Fatalf("%d of %d calls had a clear response, want at least half: the simulation tests too little",
+			clear, calls)
 	}
 }
 
--- a/internal/tooling/loadgen/check_test.go
+++ b/internal/tooling/loadgen/check_test.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestSealAndBody checks that a plain response is a finding if its seal, its echoed attempt id or its body
-// is not that of the attempt.
-func TestSealAndBody(t *testing.T) {
+// TestWrongSealsAndBodiesAreFound checks that a plain response is a finding if its seal, its echoed attempt
+// id or its body is not that of the attempt.
+func TestWrongSealsAndBodiesAreFound(t *testing.T) {
 	body := []byte("b")
 	validBody := workeremulator.PlainBody("a", body)
 	for name, test := range map[string]struct {
@@ -88,8 +88,9 @@
 	return fmt.Sprintf("id: %d\ndata: %s\n", number, workeremulator.EventData("a", number))
 }
 
-// TestOrderOfEvents checks that a stream with a missing, repeated, surplus or wrong event is a finding.
-func TestOrderOfEvents(t *testing.T) {
+// TestWrongEventsAreFound checks that a stream with a missing, repeated, surplus or wrong event is a
+// finding.
+func TestWrongEventsAreFound(t *testing.T) {
 	for name, test := range map[string]struct {
 		from   int64
 		events []string
@@ -124,9 +125,9 @@
 	}
 }
 
-// TestPagesOfAJob checks that a page of a batch job is a finding if it has wrong items or differs from an
-// earlier read.
-func TestPagesOfAJob(t *testing.T) {
+// TestWrongJobPagesAreFound checks that a page of a batch job is a finding if it has wrong items or differs
+// from an earlier read.
+func TestWrongJobPagesAreFound(t *testing.T) {
 	first := jobclient.Output{ID: "i1", Phase: jobclient.PhaseSettled, Text: completeText("i1", 2)}
 	second := jobclient.Output{ID: "i2", Phase: jobclient.PhaseSettled, Text: completeText("i2", 3)}
 	dropped := jobclient.Output{ID: "i2", Phase: jobclient.PhaseAbandoned}
--- a/internal/tooling/loadgen/drive_test.go
+++ b/internal/tooling/loadgen/drive_test.go
@@ -164,9 +164,9 @@
 	}
 }
 
-// TestInventedSuccess checks that a successful response that no worker sent is found by comparison with
-// the workers' runs.
-func TestInventedSuccess(t *testing.T) {
+// TestInventedSuccessIsFound checks that a successful response that no worker sent is found by comparison
+// with the workers' runs.
+func TestInventedSuccessIsFound(t *testing.T) {
 	result := runWithWorkers(t, workeremulator.Faults{}, func(request *http.Request) *http.Response {
 		attempt := request.Header.Get("Lemonarch-Attempt-Id")
 		if !strings.HasPrefix(request.URL.Path, "/status/") {
--- a/internal/tooling/loadgen/options_test.go
+++ b/internal/tooling/loadgen/options_test.go
@@ -23,9 +23,9 @@
 	return folder
 }
 
-// TestInvalidExperiments checks that each invalid file leads to an error of one line that names the
-// fault.
-func TestInvalidExperiments(t *testing.T) {
+// TestInvalidExperimentsAreRejected checks that each invalid file leads to an error of one line that
+// names the fault.
+func TestInvalidExperimentsAreRejected(t *testing.T) {
 	folder := programs(t)
 	for text, want := range map[string]string{
 		"rate = 0.0":                      "rate",
--- a/internal/tooling/soak/schedule_test.go
+++ b/internal/tooling/soak/schedule_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestInvalidOptions(t *testing.T) {
+func TestInvalidOptionsAreRejected(t *testing.T) {
 	for _, options := range []Options{{Duration: time.Second, Processes: 10}, {Duration: 24 * time.Hour, Processes: 10}, {Duration: 20 * time.Second, Processes: 3}, {Duration: 20 * time.Second, Processes: 1000}} {
 		if _, err := Generate(options); err == nil {
 			t.Errorf("invalid options %+v were accepted", options)
--- a/internal/tooling/workeremulator/engine_test.go
+++ b/internal/tooling/workeremulator/engine_test.go
@@ -157,9 +157,9 @@
 	}
 }
 
-// TestFullTooLargeAndLate checks that a request is rejected if the queue is full or the request can never
-// fit into memory, and that a running request expires at its deadline.
-func TestFullTooLargeAndLate(t *testing.T) {
+// TestRequestsAreRejectedOrExpire checks that a request is rejected if the queue is full or the request can
+// never fit into memory, and that a running request expires at its deadline.
+func TestRequestsAreRejectedOrExpire(t *testing.T) {
 	var events []Event
 	for ticket := int64(1); ticket <= 7; ticket++ {
 		events = append(events, arrive(ticket, 10, 40))
@@ -197,7 +197,8 @@
 			}
 			running, waiting, used := engine.State()
 			if running > 4 || running+waiting > 6+1 || used > 1000 || engine.cache.storedTokens+engine.outputTokens() > 1000 {
-				t.Fatalf("seed %d: %d running, %d waiting, %d tokens pinned and used, %d stored; want at most 4 running, 7 in total, and 1000 tokens", seed, running, waiting, used, engine.cache.storedTokens)
+				t.Fatalf("seed %d: %d running, %d waiting, %d tokens used, %d cached and %d of output; want at most 4 running, 7 running or waiting, 1000 tokens used, and 1000 cached or of output",
+					seed, running, waiting, used, engine.cache.storedTokens, engine.outputTokens())
 			}
 		}
 		now, count := clock.Instant(0), int64(0)
--- a/internal/tooling/workeremulator/heartbeats_test.go
+++ b/internal/tooling/workeremulator/heartbeats_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// TestHeartbeats checks that heartbeats carry an increasing count, go to the target named in a response,
-// and return to the controllers once that target fails.
-func TestHeartbeats(t *testing.T) {
+// TestHeartbeatsFollowTheTargetUntilItFails checks that heartbeats carry an increasing count, go to the
+// target named in a response, and return to the controllers once that target fails.
+func TestHeartbeatsFollowTheTargetUntilItFails(t *testing.T) {
 	var lock sync.Mutex
 	var paths []string
 	var counts []int64
--- a/internal/tooling/workeremulator/warmup_test.go
+++ b/internal/tooling/workeremulator/warmup_test.go
@@ -7,9 +7,9 @@
 	"lemonarch/internal/platform/clock"
 )
 
-// TestWarmup checks that a worker is slow during warm-up, reports the remaining time in its heartbeats,
-// and runs at normal speed afterwards.
-func TestWarmup(t *testing.T) {
+// TestWorkerIsSlowDuringWarmup checks that a worker is slow during warm-up, sets the end of the warm-up
+// from which its heartbeats compute the remaining time, and runs at normal speed afterwards.
+func TestWorkerIsSlowDuringWarmup(t *testing.T) {
 	settings := engineSettings
 	settings.Warmup = time.Second
 	clockValue := &immediateClock{now: clock.Instant(time.Second)}
@@ -36,4 +36,4 @@
 	later *func()
 }
 
-func (h deferringClock) After(_ clock.Duration, function func()) { *h.later = function }
+func (c deferringClock) After(_ clock.Duration, function func()) { *c.later = function }
--- a/internal/tooling/workeremulator/worker_test.go
+++ b/internal/tooling/workeremulator/worker_test.go
@@ -22,16 +22,16 @@
 	now  clock.Instant
 }
 
-func (h *immediateClock) Now() clock.Instant {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	return h.now
+func (c *immediateClock) Now() clock.Instant {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.now
 }
 
-func (h *immediateClock) After(span clock.Duration, function func()) {
-	h.lock.Lock()
-	h.now = h.now.Add(span)
-	h.lock.Unlock()
+func (c *immediateClock) After(span clock.Duration, function func()) {
+	c.lock.Lock()
+	c.now = c.now.Add(span)
+	c.lock.Unlock()
 	go function()
 }
 
@@ -178,9 +178,9 @@
 	}
 }
 
-// TestForgottenConnection checks that bytes on a connection that the worker has silently forgotten cause
-// a reset.
-func TestForgottenConnection(t *testing.T) {
+// TestForgottenConnectionIsReset checks that bytes on a connection that the worker has silently forgotten
+// get no response: the connection ends.
+func TestForgottenConnectionIsReset(t *testing.T) {
 	worker, record, address, clockValue := start(t, plainSettings)
 	worker.SetFaults(Faults{ForgetMs: 500})
 	connection, err := net.Dial("tcp4", address)
