--- a/internal/batch/dispatch/dispatcher.go
+++ b/internal/batch/dispatch/dispatcher.go
@@ -6,7 +6,9 @@
 // are soft state; only results, counted failures and ends of jobs are recorded. A new
 // leader treats every unfinished item of earlier jobs as possibly acquired until each
 // executor has reported its acquisitions, or one lock duration has passed, so that no two runs
-// of an item overlap across a takeover. docs/design.md names the source of the protocol and the
+// of an item overlap across a takeover. This relies on earlier leaders dispatching only under a
+// valid lease, which has expired by then; see package lease for the case in which an acceptor was
+// restarted. docs/design.md names the source of the protocol and the
 // changes made to it.
 package dispatch
 
@@ -74,8 +76,9 @@
 }
 
 // NewDispatcher returns the dispatcher of an epoch. Items of jobs recorded before the index
-// firstIndex may be acquired from earlier leaders until one lock duration after startedAt, the
-// latest instant at which an earlier leader can have dispatched an item.
+// firstIndex may be acquired from earlier leaders until one lock duration after startedAt. No
+// earlier leader may dispatch an item after startedAt; package leader passes the start of its term,
+// when the earlier leader's lease has expired.
 func NewDispatcher(jobs *JobTable, epoch uint64, firstIndex int64, lock clock.Duration, startedAt clock.Instant) *Dispatcher {
 	dispatcher := &Dispatcher{Jobs: jobs, Lock: lock, epoch: epoch, firstIndex: firstIndex, uncertainUntil: startedAt.Add(lock), startedAt: startedAt,
 		inFlight: map[uint64]*Acquisition{}, prefixOwners: map[string]prefixOwner{}, executors: map[string]*executorState{},
--- a/internal/batch/leader/term.go
+++ b/internal/batch/leader/term.go
@@ -2,10 +2,12 @@
 // leader takes over from the previous one, replicates records to the store set, keeps that set
 // complete, dispatches items to executors, and serves calls on jobs.
 //
-// A record is committed, also called durable, once budget + 1 stores of the set have it on disk. Its
-// effect is not disclosed to any other process before that. The stores reject records of an earlier epoch, so a
-// leader that continues after its lease has expired can't commit any more. The logic that needs
-// no I/O is in packages replication and dispatch.
+// A record is committed, also called durable, once budget + 1 stores of the set have it on disk, or
+// all that have not lost their disks if these are fewer. While the set is changed, this must hold for
+// both the old and the new set. The effect of a record is not disclosed to any other process before
+// that. A store that was fenced by a later leader rejects records of earlier epochs, so a leader that
+// continues after its lease has expired can't commit any more once a later leader has fenced enough
+// stores. The logic that needs no I/O is in packages replication and dispatch.
 package leader
 
 import (
--- a/internal/batch/leadership/leadership.go
+++ b/internal/batch/leadership/leadership.go
@@ -1,9 +1,10 @@
-// Package leadership elects the store process that leads batch processing. A candidate
-// first requests a lease from the acceptors (package lease), which permits only one candidate at
-// a time to continue. It then increments the leadership's epoch in the register. The epoch is
-// what fences an earlier leader that continues after its lease has expired. The leader renews
-// the lease and sends announcements; a store that receives no announcement for about the duration
-// of a lease (leaderTimeout) campaigns.
+// Package leadership elects the store process that leads batch processing. A candidate first
+// requests a lease from the acceptors. Only one candidate at a time can hold it while no acceptor
+// restarts (package lease). The candidate then increments the leadership's epoch in the register
+// by compare-and-set, so of several candidates with a lease only one leads the next epoch. The
+// epoch is also what fences an earlier leader that continues after its lease has expired. The
+// leader renews the lease and sends announcements; a store that receives no announcement for
+// about the duration of a lease (leaderTimeout) campaigns.
 package leadership
 
 import (
--- a/internal/control/agent/reports.go
+++ b/internal/control/agent/reports.go
@@ -71,7 +71,7 @@
 
 // exchange makes the periodic report to a controller of this zone, or of another zone while the
 // controllers of this one do not respond or are detached. Every constants.NeighbourRounds rounds,
-// and whenever no controller accepted the report, it also shuffles views with a neighbour.
+// and whenever no controller accepted the report, it also shuffles views with a random process.
 func (a *Agent) exchange() {
 	a.lock.Lock()
 	a.reporter.rounds++
--- a/internal/control/configserver/configserver.go
+++ b/internal/control/configserver/configserver.go
@@ -2,9 +2,10 @@
 // new versions through the register, applies and broadcasts chosen versions, and serves the
 // configuration and the sets of the register to other processes.
 //
-// A version is chosen once a majority of the acceptors has it on disk. It is acknowledged
-// once the acceptor set tolerates the fault budget and the processes in contact were
-// notified, or constants.PushTimeout has passed (docs/control/2-one-history.md).
+// A version is chosen once a majority of the acceptors has it on disk. It is acknowledged once
+// two conditions are met: the acceptor set that has it tolerates the fault budget, and then
+// either the processes in contact were notified or constants.PushTimeout has passed
+// (docs/control/2-one-history.md).
 package configserver
 
 import (
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -1,6 +1,7 @@
-// Package membership maintains a process's view of the fleet: partial views, which neighbours
-// exchange by shuffling, and the controllers' directory of all processes. The package does no
-// I/O: time and messages are passed in as arguments. A View is not safe for concurrent use.
+// Package membership maintains a process's view of the fleet: a partial view, kept current by
+// reports to controllers and by shuffles with random processes, or on a controller the directory of
+// all processes. The package does no I/O: time and messages are passed in as arguments. A View is not
+// safe for concurrent use.
 package membership
 
 import (
--- a/internal/control/register/replace.go
+++ b/internal/control/register/replace.go
@@ -73,8 +73,9 @@
 }
 
 // Campaign returns the change by which a store becomes the leader. It raises the epoch, so that the
-// previous leader can no longer change anything. first is the store set to use if there is none
-// yet, and done is set to whether the store became the leader.
+// previous leader can no longer change the register; the stores are fenced separately, by the new
+// leader. first is the store set to use if there is none yet, and done is set to whether the store
+// became the leader.
 func Campaign(leader messages.Leadership, expected uint64, first []messages.Member, done *bool) Change {
 	return func(current messages.RegisterValue) (messages.RegisterValue, Verdict) {
 		*done = false
--- a/internal/control/workerserver/table.go
+++ b/internal/control/workerserver/table.go
@@ -2,10 +2,11 @@
 // the table of workers with its file, and the durability of drains and departures. The rules of the
 // table, without I/O, are in package workers.
 //
-// A drain or a departure is acknowledged once a majority of the acceptors has it on disk
-// and the processes in contact were notified, or the announcement has timed out
-// (docs/control/4-state-not-history.md). A controller that has just started acknowledges nothing until
-// it has recovered the workers from a majority of the acceptors (recovery.go).
+// A drain or a departure is acknowledged once a majority of the acceptors has it on disk and either
+// the processes in contact were notified or constants.BroadcastTimeout has passed
+// (docs/control/4-state-not-history.md). One that this process knew already is not announced again. A
+// controller that has just started acknowledges nothing until it has recovered the workers from a
+// majority of the acceptors (recovery.go).
 package workerserver
 
 import (
--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -60,9 +60,10 @@
 	// BackoffSpread is the minimum range of the random part of that pause, before it doubles. The
 	// random part separates two competing proposers.
 	BackoffSpread = 60 * time.Millisecond
-	// SetGrowthTimeout is how long after its start a controller delays acknowledgements while
-	// the acceptor set can't yet tolerate the fault budget and others could join it. Each join
-	// takes well under a second.
+	// SetGrowthTimeout is how long after its start a controller counts every controller in contact
+	// as one that could still join the acceptor set, and delays acknowledgements until the set
+	// tolerates the fault budget. After it, only those that respond at that moment count. Each
+	// join takes well under a second.
 	SetGrowthTimeout = 10 * time.Second
 	// LeaseDuration is the length of the leader's lease: long enough for a slow sync, short
 	// enough that jobs wait only briefly after a crash.
--- a/internal/platform/constants/views.go
+++ b/internal/platform/constants/views.go
@@ -24,7 +24,7 @@
 	// now: one report per second, and one heartbeat between controllers.
 	FreshReportAge = 1800 * time.Millisecond
 	// NeighbourRounds is the number of rounds, each with a report to a controller, in which a
-	// process shuffles once with a neighbour as well. The shuffle matters only while no controller
+	// process also shuffles once with a random process. The shuffle matters only while no controller
 	// is available, and is then made in each round.
 	NeighbourRounds = 10
 	// SuspectAfter is the silence after which a process counts as silent.
--- a/internal/platform/inbound/limits.go
+++ b/internal/platform/inbound/limits.go
@@ -15,7 +15,8 @@
 var (
 	// ErrTooLarge means that the head or the body is longer than allowed.
 	ErrTooLarge = errs.Define("request too large")
-	// ErrMemoryLimit means that the process currently has no memory for the request.
+	// ErrMemoryLimit means that the process currently has no memory for the request, or that the
+	// request was evicted to free memory for others.
 	ErrMemoryLimit = errs.Define("no memory for the request")
 	// ErrTooSlow means that the body was not received completely before its deadline.
 	ErrTooSlow = errs.Define("body not received in time")
--- a/internal/platform/inbound/listener.go
+++ b/internal/platform/inbound/listener.go
@@ -22,7 +22,8 @@
 
 	lock sync.Mutex
 	open map[*Conn]struct{}
-	// headLimit is the maximum length of a head in bytes.
+	// headLimit is the header limit of the configuration, in bytes. A head may be longer by
+	// constants.HeadSlack.
 	headLimit atomic.Int64
 	// evicted counts the evicted connections, rejected the requests and connections that were rejected.
 	evicted, rejected atomic.Int64
@@ -74,7 +75,8 @@
 	return l
 }
 
-// SetHeadLimit sets the maximum length of a head in bytes. It applies from the next bytes received.
+// SetHeadLimit sets the header limit in bytes; a head may be longer by constants.HeadSlack. It applies
+// from the next bytes received.
 func (l *Listener) SetHeadLimit(limit int) { l.headLimit.Store(int64(limit)) }
 
 func (l *Listener) headTooLarge(length int64) bool {
