--- a/internal/batch/store/server.go
+++ b/internal/batch/store/server.go
@@ -1,4 +1,4 @@
-// Package store implements the storage process. It connects the durable log of records, the
+// Package store implements the store process. It connects the durable log of records, the
 // leader election, the leader's term while this process leads, and the execution of items.
 // docs/architecture.md describes which package owns which state.
 package store
@@ -40,7 +40,7 @@
 	ReportSlowness() *messages.StatusResponse
 }
 
-// Server is one storage process.
+// Server is one store process.
 type Server struct {
 	Node   *agent.Agent
 	Gossip *loadgossip.Gossip
--- a/internal/control/contact/contact.go
+++ b/internal/control/contact/contact.go
@@ -1,4 +1,4 @@
-// Package contact implements the contact lease, which shows whether a control process is up to
+// Package contact implements the contact lease, which shows whether a controller is up to
 // date: whether a majority of the current acceptors responded to it recently, and none of these
 // responses reported a version newer than what the process follows. The package consists of step
 // functions without I/O.
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -1,4 +1,4 @@
-// Package controller is the control process: it connects the servers of the control plane to one
+// Package controller implements the controller process: it connects the servers of the control plane to one
 // node and runs their loops. docs/architecture.md describes which server owns which state.
 package controller
 
@@ -36,7 +36,7 @@
 // that all of them start with the same acceptor set.
 const firstDisk = "first"
 
-// Controller is one control process.
+// Controller is one controller process.
 type Controller struct {
 	Node     *agent.Agent
 	Register *registerserver.Replica
--- a/internal/control/operatorapi/operatorapi.go
+++ b/internal/control/operatorapi/operatorapi.go
@@ -1,6 +1,7 @@
 // Package operatorapi serves the operator's calls on a controller: replacing and reading the
-// configuration, and retiring storage machines. A call with a 5xx response may or may not
-// take effect; one with a 4xx response never does (PROTOCOL, Configuration and Retire).
+// configuration, and retiring the machines of stores, which responses call storage machines. A call
+// with a 5xx response may or may not take effect; one with a 4xx response never does (PROTOCOL,
+// Configuration and Retire).
 package operatorapi
 
 import (
--- a/internal/control/registerserver/maintainer.go
+++ b/internal/control/registerserver/maintainer.go
@@ -75,7 +75,7 @@
 
 // Votes reports whether a process may be an acceptor. A process without a disk loses its promises
 // at each start, so it may not, unless the settings count it in the quorum, which they do if no
-// control machine has a disk.
+// controller machine has a disk.
 func Votes(nodeSettings *settings.Settings) bool {
 	return nodeSettings.DataDir != "" || nodeSettings.InQuorum
 }
--- a/internal/platform/constants/contact.go
+++ b/internal/platform/constants/contact.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Contact between control processes, and the handling of its loss.
+// Contact between controllers, and the handling of its loss.
 const (
 	// ContactPeriod is the time between two rounds in which a controller checks its contact
 	// with the acceptors. A request and a response take some 30 bytes each.
--- a/internal/platform/constants/inbound.go
+++ b/internal/platform/constants/inbound.go
@@ -41,7 +41,7 @@
 	FileHandlesReserved = 200
 	ClientHandlesShare  = 0.5
 	// ClientGrace is how long the reception of a request may take before the request can be
-	// dropped as slow to free memory or a connection.
+	// evicted as slow to free memory or a connection.
 	ClientGrace = time.Second
 	// ClientRateWindow is the time over which the bytes received from a client are counted, to
 	// find the slowest client.
--- a/internal/platform/process/runtime.go
+++ b/internal/platform/process/runtime.go
@@ -1,6 +1,7 @@
 // Package process is the runtime of every lemonarch process: its settings, its transport with the
 // request handlers, its log, its status reports, and its incarnation from start to shutdown. It
 // has no knowledge of other processes; package agent adds what a process knows about the fleet.
+// A process is also called a node, except in the placement of adapters; see adapterplan.Node.
 package process
 
 import (
