--- a/internal/configuration/routeconfig/routeconfig.go
+++ b/internal/configuration/routeconfig/routeconfig.go
@@ -38,10 +38,11 @@
 	ResultMs float64 `json:"result-setpoint-ms,omitempty"`
 	RetainS  float64 `json:"retain-s,omitempty"`
 	// BacklogCap is the maximum number of tokens in the route's waiting batch jobs; 0 means no limit.
-	BacklogCap int64   `json:"backlog-cap,omitempty"`
-	Priority   int     `json:"priority"`
-	Backend    string  `json:"backend,omitempty"`
-	Weighted   []Share `json:"weighted,omitempty"`
+	BacklogCap int64 `json:"backlog-cap,omitempty"`
+	// Priority orders the requests that wait for capacity; a lower number is a higher priority.
+	Priority int     `json:"priority"`
+	Backend  string  `json:"backend,omitempty"`
+	Weighted []Share `json:"weighted,omitempty"`
 	// MaxAttempts is the maximum number of attempts of a request; Parse sets it to at least 1.
 	MaxAttempts int `json:"tries,omitempty"`
 	// Affine means that workers are also chosen by the prefix of the prompt, to use their prefix caches.
--- a/internal/platform/messages/dispatch.go
+++ b/internal/platform/messages/dispatch.go
@@ -27,10 +27,11 @@
 
 // AcquiredItem is one item under a lock.
 type AcquiredItem struct {
-	Number      uint64  `msg:"n"`
-	Job         string  `msg:"l"`
-	Host        string  `msg:"h"`
-	Path        string  `msg:"p"`
+	Number uint64 `msg:"n"`
+	Job    string `msg:"l"`
+	Host   string `msg:"h"`
+	Path   string `msg:"p"`
+	// SubmittedMs is when the job was submitted, in ms of Unix time.
 	SubmittedMs int64   `msg:"t"`
 	Item        JobItem `msg:"i"`
 	// Events are the events of an earlier attempt that its RELEASE returned, and LastID the id of
--- a/internal/platform/messages/jobs.go
+++ b/internal/platform/messages/jobs.go
@@ -7,7 +7,9 @@
 	Path   string `msg:"p"`
 	Job    string `msg:"l"`
 	Item   string `msg:"i"`
-	Cursor int    `msg:"c"`
+	// Cursor is the position of the first result to read.
+	Cursor int `msg:"c"`
+	// WaitMs is how long a read or an offer may wait at the leader, in ms.
 	WaitMs int    `msg:"w"`
 	Body   []byte `msg:"b"`
 	// Forwarded is set if another gateway forwarded the call, which happens once at most.
@@ -33,9 +35,10 @@
 
 // JobCallResponse is the leader's response to JobCallRequest.
 type JobCallResponse struct {
-	Status       int    `msg:"s"`
-	Body         []byte `msg:"b"`
-	RetryAfterMs int    `msg:"r"`
+	Status int    `msg:"s"`
+	Body   []byte `msg:"b"`
+	// RetryAfterMs is the time after which the call may be retried, in ms; 0 if none is stated.
+	RetryAfterMs int `msg:"r"`
 	// NotLeader is set if the responding process is not the leader.
 	NotLeader bool   `msg:"e"`
 	Leader    string `msg:"h"`
@@ -52,10 +55,12 @@
 	Item      string     `msg:"i"`
 	Position  int        `msg:"p"`
 	Abandoned bool       `msg:"d"`
-	AtMs      int64      `msg:"t"`
-	Route     string     `msg:"r"`
-	Host      string     `msg:"h"`
-	Body      []byte     `msg:"b"`
+	// AtMs is when a job was submitted, in ms of Unix time. In a RecordExecutor it is the incarnation
+	// of the executor whose name is in Item.
+	AtMs  int64  `msg:"t"`
+	Route string `msg:"r"`
+	Host  string `msg:"h"`
+	Body  []byte `msg:"b"`
 	// Acquisition is the acquisition whose acknowledgement this record contains, if any.
 	Acquisition uint64 `msg:"a"`
 	// Compressed is set if the body of an output is compressed (DEFLATE).
--- a/internal/platform/messages/members.go
+++ b/internal/platform/messages/members.go
@@ -30,7 +30,9 @@
 	Zone    string `msg:"h"`
 }
 
-// Version is one acknowledged configuration in the register's history.
+// Version identifies one body of a register: a configuration, or in the register of assignments a
+// plan, whose revision is Generation. Base is the generation of the version that it replaces, and Hash
+// the SHA-256 of the body in hexadecimal.
 type Version struct {
 	Generation int64  `msg:"g"`
 	Base       int64  `msg:"b"`
@@ -209,7 +211,8 @@
 	ReplyTo string `msg:"q"`
 }
 
-// Pressure states that requests of a priority wait for capacity at a service.
+// Pressure states that requests of a priority wait for capacity at a service. A lower number is a
+// higher priority. Waiting is the number of these requests.
 type Pressure struct {
 	Service  string `msg:"s"`
 	Priority int    `msg:"p"`
--- a/internal/platform/messages/plans.go
+++ b/internal/platform/messages/plans.go
@@ -33,6 +33,7 @@
 // PlanApplyRequest asks a controller to put rules and their solution in force, based on a revision
 // of the register.
 type PlanApplyRequest struct {
+	// Base is the revision that the plan replaces; the request is rejected if another is in force.
 	Base     int64  `msg:"b"`
 	Rules    []byte `msg:"r"`
 	Solution []byte `msg:"a"`
@@ -68,8 +69,9 @@
 	Node    string `msg:"n"`
 }
 
-// PlanResponse contains the plan in force, as far as the requester needs it. Revision 0 means that
-// there is none.
+// PlanResponse contains the plan in force, as far as the requester needs it. Revision is that of the
+// register of assignments, and rises also when a plan is made for the same rules; 0 means that there
+// is no plan. Generation is that of the operator's rules.
 type PlanResponse struct {
 	Revision   int64           `msg:"v"`
 	Generation int64           `msg:"g"`
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -20,24 +20,29 @@
 
 // Settings is the configuration that a process reads at its start. Unknown fields are ignored.
 type Settings struct {
-	NodeName      string            `toml:"node-name"`
-	Role          string            `toml:"role"`
-	MachineClass  string            `toml:"machine-class"`
-	Serves        []string          `toml:"serves"`
-	Address       string            `toml:"ip"`
-	Zone          string            `toml:"zone"`
-	Region        string            `toml:"region"`
-	InternalPorts []int             `toml:"internal-ports"`
-	Seeds         []string          `toml:"seeds"`
-	Bootstrap     bool              `toml:"bootstrap"`
-	InQuorum      bool              `toml:"in-quorum"`
-	DataDir       string            `toml:"data-dir"`
-	HeartbeatMs   float64           `toml:"heartbeat-ms"`
-	Zones         map[string]string `toml:"zones"`
-	Bind          Bind              `toml:"bind-addresses"`
-	Limits        Limits            `toml:"limits"`
-	FaultBudget   FaultBudget       `toml:"fault-budget"`
-	Tolerances    Tolerances        `toml:"tolerances"`
+	NodeName     string   `toml:"node-name"`
+	Role         string   `toml:"role"`
+	MachineClass string   `toml:"machine-class"`
+	Serves       []string `toml:"serves"`
+	Address      string   `toml:"ip"`
+	Zone         string   `toml:"zone"`
+	Region       string   `toml:"region"`
+	// InternalPorts contains the first and the last port of the range for the roles' internal ports.
+	InternalPorts []int    `toml:"internal-ports"`
+	Seeds         []string `toml:"seeds"`
+	// Bootstrap marks the first start of the system, at which the seeds become the acceptor set.
+	Bootstrap bool `toml:"bootstrap"`
+	// InQuorum lets a controller without DataDir be an acceptor.
+	InQuorum    bool    `toml:"in-quorum"`
+	DataDir     string  `toml:"data-dir"`
+	HeartbeatMs float64 `toml:"heartbeat-ms"`
+	// Zones has an entry for each zone of the fleet. Only the number of entries is used; if there are
+	// none, the fault budget determines how many zones the first store set spans.
+	Zones       map[string]string `toml:"zones"`
+	Bind        Bind              `toml:"bind-addresses"`
+	Limits      Limits            `toml:"limits"`
+	FaultBudget FaultBudget       `toml:"fault-budget"`
+	Tolerances  Tolerances        `toml:"tolerances"`
 }
 
 // Bind lists the addresses on which the process listens for the services of its role.
@@ -63,7 +68,9 @@
 }
 
 // Tolerances lists the time limits and tolerances that the rules of operation refer to. The
-// suffixes Ms and S are the units.
+// suffixes Ms and S are the units. The processes use only GraceS, which is required, CancelMs, for
+// which 0 means that it is not set (see dispatch.LockDuration), and StatusS, the retention period of
+// finished jobs, for which 0 means that they are dropped without delay.
 type Tolerances struct {
 	DrainMs        float64 `toml:"drain-ms"`
 	GraceS         float64 `toml:"grace-s"`
