--- a/internal/control/registerserver/replica.go
+++ b/internal/control/registerserver/replica.go
@@ -28,8 +28,9 @@
 	logfileLimit = 4 << 20
 )
 
-// Replica drives the step functions of packages register and lease: it syncs state to disk before
-// it responds, and sends proposals to the other acceptors.
+// Replica drives the step functions of packages register and lease: it syncs the state of the acceptor
+// to disk before it responds, and sends proposals to the other acceptors. Granted leases are kept in
+// memory only.
 type Replica struct {
 	// Name is the name of the register; empty for the register of the configuration.
 	Name string
--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -78,7 +78,8 @@
 const (
 	// HeartbeatsSuspect is how many heartbeats a worker may miss before it is suspect.
 	HeartbeatsSuspect = 3
-	// HeartbeatsDeparted is how many heartbeats a worker may miss before it counts as departed.
+	// HeartbeatsDeparted is how many heartbeats a worker may miss before no request is placed on it, as
+	// on one that departed. Its phase does not change.
 	HeartbeatsDeparted = 10
 	// WorkerNameBytes is the maximum length of a worker's id, backend, address or zone, in bytes.
 	WorkerNameBytes = 1024
