--- a/internal/platform/constants/constants.go
+++ b/internal/platform/constants/constants.go
@@ -60,9 +60,10 @@
 	// BackoffSpread is the minimum range of the random part of that pause, before it doubles. The
 	// random part separates two competing proposers.
 	BackoffSpread = 60 * time.Millisecond
-	// SetGrowthTimeout is how long after its start a controller delays acknowledgements while
-	// the acceptor set can't yet tolerate the fault budget and others could join it. Each join
-	// takes well under a second.
+	// SetGrowthTimeout is how long after its start a controller counts every controller in contact
+	// as one that could still join the acceptor set, and delays acknowledgements until the set
+	// tolerates the fault budget. After it, only those that respond at that moment count. Each
+	// join takes well under a second.
 	SetGrowthTimeout = 10 * time.Second
 	// LeaseDuration is the length of the leader's lease: long enough for a slow sync, short
 	// enough that jobs wait only briefly after a crash.
@@ -77,7 +78,8 @@
 const (
 	// HeartbeatsSuspect is how many heartbeats a worker may miss before it is suspect.
 	HeartbeatsSuspect = 3
-	// HeartbeatsDeparted is how many heartbeats a worker may miss before it counts as departed.
+	// HeartbeatsDeparted is how many heartbeats a worker may miss before no request is placed on it, as
+	// on one that departed. Its phase does not change.
 	HeartbeatsDeparted = 10
 	// WorkerNameBytes is the maximum length of a worker's id, backend, address or zone, in bytes.
 	WorkerNameBytes = 1024
