--- a/internal/control/agent/status.go
+++ b/internal/control/agent/status.go
@@ -26,7 +26,7 @@
 	return status
 }
 
-// reportNodes lists this process and the processes in its view.
+// reportNodes lists this process first, then the processes in its view.
 func (a *Agent) reportNodes() *messages.StatusResponse {
 	status := &messages.StatusResponse{Columns: []string{"process", "zone", "address", "heard-ms", "generation", "leaving"}}
 	self := a.Self
--- a/internal/control/register/drive_test.go
+++ b/internal/control/register/drive_test.go
@@ -102,8 +102,8 @@
 func (a *simulatedAttempt) send(list []register.Send, finish func()) {
 	fleet := a.fleet
 	if len(list) > 0 && list[0].Accept != nil && fleet.world.Random.Float64() < fleet.crashProbability {
-		// The proposer crashes after it decided on the second round, and only some members receive
-		// it.
+		// The proposer crashes at the worst moment: after it decided on the second round, so that only
+		// some members receive it.
 		list = list[:fleet.world.Random.Intn(len(list))]
 		fleet.world.After(0, func() { fleet.restartLater(a.from) })
 	}
--- a/internal/control/register/repair_test.go
+++ b/internal/control/register/repair_test.go
@@ -11,7 +11,8 @@
 )
 
 // repairFleet is a fleet that loses one machine permanently and a second one for a while during the
-// repair, at the moment at which a change of the set is chosen.
+// repair, at the moment at which a change of the set is chosen. The second loss is placed there because
+// that is the worst step of the repair for it.
 type repairFleet struct {
 	*growingFleet
 	// lossPending is set while the second loss is still to come. It occurs when a set with an epoch
