--- a/internal/batch/dispatch/dispatcher_test.go
+++ b/internal/batch/dispatch/dispatcher_test.go
@@ -91,7 +91,7 @@
 
 func failed(ack *messages.Acknowledgement) { ack.Failed = true }
 
-// Only one executor runs an item while its lock lasts. Expired locks, however many, never end the item.
+// Only one executor runs an item while its lock lasts. Expired locks, however many, delay it by a backoff but never end it.
 func TestOneAcquisitionUntilLockExpires(t *testing.T) {
 	dispatcher := newTestDispatcher(t, 1, nil, 0)
 	dispatcher.addJob("l", "a")
