--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -93,7 +93,7 @@
 }
 
 // A client that disconnects withdraws its request. The request must not be given a slot afterwards,
-// since nobody would release it.
+// since that slot would never be released.
 func TestWithdrawnIsNeverResumed(t *testing.T) {
 	scheduler := newScheduler(t, 1, "w")
 	var grants []*Grant
