--- a/internal/platform/process/runtime.go
+++ b/internal/platform/process/runtime.go
@@ -48,7 +48,7 @@
 type handler func(body []byte) ([]byte, error)
 
 // Prepare applies the machine's resource limits to the Go runtime. Main calls it before it creates the
-// process.
+// process, so that the limits are in force when the process allocates its memory.
 func Prepare(nodeSettings *settings.Settings) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(constants.GCPercent)
