--- a/internal/tooling/workeremulator/exchange.go
+++ b/internal/tooling/workeremulator/exchange.go
@@ -59,7 +59,8 @@
 }
 
 // apply writes the result of one effect and reports whether the response is complete.
-// faultEvent is the number of the event at which cut and skip take effect.
+// faultEvent is the number of the event at which cut and skip take effect, the one half way through
+// the whole stream.
 func (e *exchange) apply(effect Effect, faultEvent int64, waiting *waiter) (complete bool) {
 	switch effect.Kind {
 	case EffectReject:
